--- a/pearstep/controller/route_writer.py
+++ b/pearstep/controller/route_writer.py
@@ -112,7 +112,7 @@
         """Write a plan shard by shard. What is left when a step fails is planned anew."""
         for step in plan.steps():
             conditions = dict(step.conditions)
-            if step.again:
+            if step.follows_withdrawal:
                 conditions[step.key] = self.replica.version_of(step.key)
             outcome = await self.transactions.commit({step.key: step.route}, conditions)
             if outcome != CommitOutcome.COMMITTED or not self.transactions.is_current():
--- a/pearstep/leader/route_plan.py
+++ b/pearstep/leader/route_plan.py
@@ -1,4 +1,4 @@
-"""New routes of a job: which tasks each shard may place, and the writes that make it so."""
+"""New routes of a job: the tasks that each shard may place, and the writes that store them."""
 
 from __future__ import annotations
 
@@ -9,53 +9,54 @@
 from pearstep.state.job import Job
 from pearstep.state.records import TASKS_PER_RECORD, RouteRecord, placement_key, route_key
 
-# The tasks of one shard by zone, as masks; None: free of a zone.
+# Bit masks of the tasks of one shard by zone; None: tasks that are not bound to a zone.
 ZoneMasks = dict[str | None, int]
 
 
 @dataclass(frozen=True)
 class RouteStep:
-    """One shard's share of a plan that is written step by step.
+    """One shard's share of a plan that is written in several transactions.
 
     Attributes:
         key: The key of the route.
-        route: Its new value.
-        conditions: The versions that keys must have.
-        again: Whether an earlier step has written the same route, whose version is the condition then.
+        route: The new value of the route.
+        conditions: The required versions by key.
+        follows_withdrawal: Whether an earlier step writes the same route; this step is then conditional on
+            the version that the earlier step wrote.
     """
 
     key: str
     route: RouteRecord
     conditions: dict[str, int]
-    again: bool = False
+    follows_withdrawal: bool = False
 
 
 class RoutePlan:
-    """New routes of a job, by shard: tasks free of a zone, and tasks bound to one.
+    """New routes of a job by shard, for tasks that are bound to a zone and tasks that are not.
 
     Attributes:
-        tasks_by_shard: The tasks that each shard may place after the plan.
+        tasks_by_shard: The tasks that each shard may place after the plan, as masks by zone.
         changed: The shards whose routes change.
-        moved: Whether a task that one shard could place goes to another one.
-        withdrawn: Whether a shard loses a task.
-        machines: The machines of a gang that spans shards, by task.
-        attempt: The number of such a gang's attempt.
-        start_at_us: When it starts, by the wall clock.
+        moved: Whether a task moves from one shard to another.
+        withdrawn: Whether a task is withdrawn from a shard.
+        machines: For a gang that spans shards: the machine of each task.
+        attempt: For such a gang: the number of its attempt.
+        start_at_us: For such a gang: the wall time of its start.
     """
 
     def __init__(self, job: Job) -> None:
-        """Begin with the routes that the job has."""
+        """Start from the job's current routes."""
         self.job = job
-        # What the plan is made from. Seen: plans wait for the write budget, and a plan with the versions of
-        # the time at which it was written moved a task that had been placed in between: it ran twice.
+        # The versions are read when the plan is made. Seen: a plan waited for the write budget and used the
+        # versions read when it was written; it moved a task that had been placed in between, which ran twice.
         self.route_versions = {shard_id: route.version for shard_id, route in job.routes.items()}
-        self.placement_versions = {where: placed.version for where, placed in job.placements.items()}
+        self.placement_versions = {chunk_id: placed.version for chunk_id, placed in job.placements.items()}
         self.tasks_by_shard: dict[int, ZoneMasks] = {}
         self.moved = False
         self.withdrawn = False
         for shard_id, route in job.routes.items():
-            # What is done stays in: a list with a gap for each task that has ended, out of thousands, would
-            # not fit into a record.
+            # Done tasks stay in the masks: ranges with a gap for each ended task of thousands would not fit
+            # into a record.
             zone_bound = 0
             masks: ZoneMasks = {}
             for zone, mask in route.zone_tasks.items():
@@ -70,12 +71,12 @@
         self.start_at_us = 0
 
     def span_shards(self, machines: list[SnapshotMachine], attempt: int, start_at_us: int) -> None:
-        """Spread the gang over machines of several shards, as one attempt.
+        """Route the gang to machines of several shards as one attempt.
 
         Args:
-            machines: A machine for each task, in the order of the tasks.
-            attempt: The attempt's number.
-            start_at_us: When its tasks start, by the wall clock.
+            machines: The machine of each task, in the order of the tasks.
+            attempt: The number of the attempt.
+            start_at_us: The wall time at which the tasks start.
         """
         for shard_id in self.tasks_by_shard:
             self.remove(shard_id, (1 << self.job.spec.tasks) - 1)
@@ -94,19 +95,19 @@
         self.changed.add(shard_id)
 
     def withdraw(self, shard_id: int, task_mask: int) -> None:
-        """Withdraw a shard's permission; what is placed already is stopped by its owner."""
+        """Withdraw tasks from a shard; its owner stops those that are placed."""
         for zone in self.tasks_by_shard[shard_id]:
             self.tasks_by_shard[shard_id][zone] &= ~task_mask
         self.changed.add(shard_id)
         self.withdrawn = True
 
     def remove(self, shard_id: int, task_mask: int) -> None:
-        """Take tasks back from a shard that must not have placed them."""
+        """Withdraw tasks from a shard on the condition that it has not placed them."""
         self.withdraw(shard_id, task_mask)
         self.moved = True
 
     def writes(self) -> tuple[dict[str, RouteRecord], dict[str, int]]:
-        """Return the records to put and the conditions that make it safe."""
+        """Return the records to put and the required versions by key."""
         puts: dict[str, RouteRecord] = {}
         conditions: dict[str, int] = {}
         for shard_id in sorted(self.changed):
@@ -116,19 +117,19 @@
         return puts, conditions
 
     def steps(self) -> list[RouteStep]:
-        """Return the same writes by shard, for a plan that does not fit one transaction.
+        """Return the same writes split by shard, for a plan that does not fit in one transaction.
 
-        First comes all that is withdrawn, then what is added, so that no task is routed to two shards,
-        whichever step is the last.
+        All withdrawals come before all additions, so that no task is routed to two shards, whichever step is
+        the last one written.
         """
         withdrawals: list[RouteStep] = []
         additions: list[RouteStep] = []
         for shard_id in sorted(self.changed):
             key = route_key(shard_id, self.job.spec.job_id)
             before, after = self.masks_before.get(shard_id, {}), self.tasks_by_shard[shard_id]
-            # A share of another plan for a gang that spans shards is withdrawn whole.
-            staying = after if self.machines is None else {}
-            kept = {zone: mask & staying.get(zone, 0) for zone, mask in before.items()}
+            # The routes of an earlier plan for a gang that spans shards are withdrawn completely.
+            retained = after if self.machines is None else {}
+            kept = {zone: mask & retained.get(zone, 0) for zone, mask in before.items()}
             withdrawn = any(mask & ~kept[zone] for zone, mask in before.items())
             if withdrawn:
                 withdrawals.append(RouteStep(key, self._record(kept, None), self._conditions_of(shard_id)))
@@ -148,9 +149,10 @@
         return RouteRecord(format_task_ranges(mask), by_zone or None)
 
     def _conditions_of(self, shard_id: int) -> dict[str, int]:
-        """Return under which conditions a shard's route may change.
+        """Return the versions that are required for changing a shard's route.
 
-        What is moved must not have been placed meanwhile.
+        They include the shard's placement records if tasks move, since a moved task must not have been placed
+        in the meantime.
         """
         spec = self.job.spec
         conditions = {route_key(shard_id, spec.job_id): self.route_versions.get(shard_id, 0)}
