--- a/pearstep/controller/autoscaler_loop.py
+++ b/pearstep/controller/autoscaler_loop.py
@@ -91,7 +91,7 @@
             await self.reconcile_machine_list()
         if not self.has_listed:
             return  # what a former leader rented may be gone: only the list tells
-        unplaced = self.planner.unplaced + self.planner.without_machine
+        unplaced = self.planner.unplaced + self.planner.unroutable
         await self._scale_out(unplaced, now_us, wall_us)
         await self._scale_in(unplaced, now_us, wall_us)
         await self.forget_completed_requests()
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -381,7 +381,7 @@
 
         # No machine is rented for what is borrowed unless its grant says so.
         chief.planner.unplaced = [row for row in chief.planner.unplaced if wanted(row)]
-        chief.planner.without_machine = [row for row in chief.planner.without_machine if wanted(row)]
+        chief.planner.unroutable = [row for row in chief.planner.unroutable if wanted(row)]
 
     def _amounts(self, peer: str) -> tuple[float, float, float]:
         rec = self.loans.peers.get(peer)
--- a/pearstep/federation/reckon.py
+++ b/pearstep/federation/reckon.py
@@ -57,7 +57,7 @@
 def waiting_jobs(leader: RoutePlanner) -> list[tuple[Job, int]]:
     """Return the jobs that were not placed in the last pass, with the number of their tasks."""
     found: dict[str, tuple[Job, int]] = {}
-    for job, count in [*leader.unplaced, *leader.without_machine]:
+    for job, count in [*leader.unplaced, *leader.unroutable]:
         before = found.get(job.spec.job_id, (job, 0))[1]
         found[job.spec.job_id] = (job, before + count)
     return list(found.values())
--- a/pearstep/leader/gang_routing.py
+++ b/pearstep/leader/gang_routing.py
@@ -1,4 +1,4 @@
-"""Routing of gangs: whole to one shard, or over several shards where none can hold them."""
+"""Routing of gangs: to one shard as a whole, or over several shards if no shard can hold the gang."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from pearstep.state.job import Job
 from pearstep.state.records import RouteRecord
 
-# A gang that spans shards and whose owners have not begun by then is planned afresh.
+# A cross-shard plan expires if no shard owner has placed a task this long after its start time.
 CROSS_SHARD_PLAN_LIFETIME_US = 60 * SECOND_US
 
 
 class _GangReservation(NamedTuple):
-    """The machines of a gang, one for each task, and when it starts on them."""
+    """The machines reserved for a gang, one for each task, and the start time."""
 
     machines: list[SnapshotMachine]
     start_at_us: int
 
 
 def plan_gang(work: SchedulingPass, job: Job) -> None:
-    """Route a gang that waits, or leave it where it is."""
+    """Route a waiting gang, move it, or keep its route."""
     if job.done_tasks or job.offloaded_tasks:
         return
     if job.spans_shards:
@@ -42,18 +42,18 @@
     ):
         quota_limits.mark_waiting(spec)
         return
-    fitting = _shards_that_fit(work, spec, work.snapshot.free_now)
+    fitting_shards = _shards_with_capacity(work, spec, work.snapshot.free_now)
     if routed_shard is None:
-        _route_waiting_gang(work, job, fitting)
+        _route_waiting_gang(work, job, fitting_shards)
     else:
-        _reconsider_route(work, job, routed_shard, fitting)
+        _reconsider_route(work, job, routed_shard, fitting_shards)
 
 
 def _plan_spanning_gang(work: SchedulingPass, job: Job) -> None:
-    if job.placed_tasks and _loses_a_machine(work, job):
-        # Every owner stops its share with time to save once the route is gone; told by the owner of
-        # that machine alone, the others would notice too late, and the gang would fall back to its
-        # last checkpoint.
+    if job.placed_tasks and _has_draining_machine(work, job):
+        # Withdrawing every route makes all shard owners stop their tasks while there is time to save. If only
+        # the owner of the draining machine stopped its tasks, the other owners would notice too late and the
+        # gang would fall back to its last checkpoint.
         for shard_id, route in job.routes.items():
             if route.tasks:
                 work.route_plan(job).withdraw(shard_id, route.tasks)
@@ -61,53 +61,56 @@
     plan_cross_shard(work, job)
 
 
-def _loses_a_machine(work: SchedulingPass, job: Job) -> bool:
+def _has_draining_machine(work: SchedulingPass, job: Job) -> bool:
     drains = work.replica.drains
     return any(
-        place.machine in drains
+        placement.machine in drains
         for placements in job.placements.values()
-        for place in placements.record.placements.values()
+        for placement in placements.record.placements.values()
     )
 
 
-def _shards_that_fit(
+def _shards_with_capacity(
     work: SchedulingPass, spec: JobSpec, capacity: CapacityIndex[SnapshotMachine, MachineGroup]
 ) -> list[int]:
-    """Return the shards that hold the whole gang, by a capacity."""
+    """Return the shards in which the whole gang fits, counted by the given capacity index."""
     snapshot = work.snapshot
     return [
         shard for shard in snapshot.by_shard if snapshot.count_together(spec, capacity, shard) >= spec.tasks
     ]
 
 
-def _reconsider_route(work: SchedulingPass, job: Job, routed_shard: int, fitting: list[int]) -> None:
-    """Let a routed gang wait in its shard, or move it to one of the shards where it fits now."""
+def _reconsider_route(work: SchedulingPass, job: Job, routed_shard: int, fitting_shards: list[int]) -> None:
+    """Keep a routed gang in its shard, or move it to a shard in which it fits now."""
     spec = job.spec
-    if routed_shard in fitting:
+    if routed_shard in fitting_shards:
         work.snapshot.allocate_gang(spec, routed_shard)
         return
     route = job.routes[routed_shard]
-    settling = work.now_us - route.observed_at_us <= work.settle_us
-    if settling or (not fitting and not plan_cross_shard(work, job, at_once=True)):
+    is_settling = work.now_us - route.observed_at_us <= work.settle_us
+    if is_settling or (not fitting_shards and not plan_cross_shard(work, job, only_if_free_now=True)):
         work.load[routed_shard] += spec.tasks * spec.cpus
         work.unplaced.append(UnplacedWork(job, spec.tasks))
         return
-    if not fitting:
+    if not fitting_shards:
         return
     work.route_plan(job).remove(routed_shard, route.tasks)
-    _route_where_it_fits(work, job, fitting)
+    _route_to_preferred_shard(work, job, fitting_shards)
 
 
-def _route_waiting_gang(work: SchedulingPass, job: Job, fitting: list[int]) -> None:
-    """Route a gang that has no route: where it fits now, else over shards, else where it can wait."""
+def _route_waiting_gang(work: SchedulingPass, job: Job, fitting_shards: list[int]) -> None:
+    """Route a gang that has no route.
+
+    The order of preference is a shard in which it fits now, several shards together, a shard to wait in.
+    """
     spec = job.spec
-    if fitting:
-        _route_where_it_fits(work, job, fitting)
-    elif plan_cross_shard(work, job, at_once=True):
+    if fitting_shards:
+        _route_to_preferred_shard(work, job, fitting_shards)
+    elif plan_cross_shard(work, job, only_if_free_now=True):
         return
     else:
         work.unplaced.append(UnplacedWork(job, spec.tasks))
-        shard_id = _shard_to_wait_in(work, spec)
+        shard_id = _choose_waiting_shard(work, spec)
         if shard_id is None:
             plan_cross_shard(work, job)
             return
@@ -115,73 +118,76 @@
     work.quota_limits.charge(spec, spec.tasks)
 
 
-def _route_where_it_fits(work: SchedulingPass, job: Job, fitting: list[int]) -> None:
-    """Route a gang to the best of the shards where it fits now."""
+def _route_to_preferred_shard(work: SchedulingPass, job: Job, fitting_shards: list[int]) -> None:
+    """Route a gang to the preferred one of the shards in which it fits now."""
     spec = job.spec
     snapshot = work.snapshot
-    spares_gpus = not spec.gpus and spec.job_class in work.patient_classes
+    avoids_gpu_machines = not spec.gpus and spec.job_class in work.boot_tolerant_classes
 
     def preference(shard: int) -> tuple[bool, int, int, int]:
         return (
-            spares_gpus
+            avoids_gpu_machines
             and snapshot.count_together(spec, snapshot.free_now, shard, without_gpus=True) >= spec.tasks,
             snapshot.count_with_image(spec, shard),
             snapshot.count_together(spec, snapshot.free_now, shard),
             -shard,
         )
 
-    shard_id = max(fitting, key=preference)
+    shard_id = max(fitting_shards, key=preference)
     snapshot.allocate_gang(spec, shard_id)
     work.route_plan(job).add(shard_id, None, spec.all_tasks)
 
 
-def _shard_to_wait_in(work: SchedulingPass, spec: JobSpec) -> int | None:
-    """Choose a shard that could hold the gang: where lower-priority work can give way, else with least load.
+def _choose_waiting_shard(work: SchedulingPass, spec: JobSpec) -> int | None:
+    """Choose a shard in which the gang waits.
+
+    Shards in which the gang would fit by preempting lower-priority tasks are preferred, then the least load.
 
     Returns:
-        The shard; None if no shard could hold the gang if it were empty.
+        The shard; None if the gang fits in no shard even when the shard is empty.
     """
     snapshot = work.snapshot
-    able = _shards_that_fit(work, spec, snapshot.when_empty)
-    if not able:
+    capable_shards = _shards_with_capacity(work, spec, snapshot.when_empty)
+    if not capable_shards:
         return None
-    lower = snapshot.with_preemption(spec.priority)
-    preemptible = [
+    preemption_capacity = snapshot.with_preemption(spec.priority)
+    preemptible_shards = [
         shard
-        for shard in able
-        if snapshot.count_together(spec, lower, shard) - work.preemption_promises.get(shard, 0) >= spec.tasks
+        for shard in capable_shards
+        if snapshot.count_together(spec, preemption_capacity, shard) - work.planned_preemptions.get(shard, 0)
+        >= spec.tasks
     ]
-    shard_id = min(preemptible or able, key=work.load_order)
+    shard_id = min(preemptible_shards or capable_shards, key=work.load_order)
     work.load[shard_id] += spec.tasks * spec.cpus
-    if preemptible:
-        work.preemption_promises[shard_id] = work.preemption_promises.get(shard_id, 0) + spec.tasks
+    if preemptible_shards:
+        work.planned_preemptions[shard_id] = work.planned_preemptions.get(shard_id, 0) + spec.tasks
     return shard_id
 
 
-def plan_cross_shard(work: SchedulingPass, job: Job, at_once: bool = False) -> bool:
-    """Plan a gang that is wider than any shard.
+def plan_cross_shard(work: SchedulingPass, job: Job, only_if_free_now: bool = False) -> bool:
+    """Plan a gang over machines of several shards.
 
-    The leader chooses the machines and the time, the owners keep the room and start their tasks of the
-    attempt. If the gang does not come together, its tasks exit, and the next attempt is planned once all of
-    them are gone.
+    The leader chooses the machines and the start time; the shard owners reserve the resources and start their
+    tasks of the attempt. If the gang does not assemble, its tasks exit, and the next attempt is planned after
+    all of them are gone.
 
     Args:
-        work: The pass.
+        work: The scheduling pass.
         job: The gang.
-        at_once: Whether to plan also a gang that some shard could hold, if it finds room now over several
-            and in none of them alone.
+        only_if_free_now: Whether the gang is planned only if it fits in what is free now, rather than on
+            empty machines. It is set for gangs that one shard may be able to hold later.
 
     Returns:
-        Whether it is planned now.
+        Whether a new plan was made.
     """
     spec = job.spec
     snapshot = work.snapshot
     planned = next((route.record for route in job.routes.values() if route.record.machines), None)
     last_attempt = max((placed.record.last_attempt for placed in job.placements.values()), default=0)
     if planned is not None and _is_plan_valid(work, job, planned, last_attempt):
-        _allocate_promised(work, job)
+        _allocate_planned_machines(work, job)
         return False
-    capacity = snapshot.free_now if at_once else snapshot.when_empty
+    capacity = snapshot.free_now if only_if_free_now else snapshot.when_empty
     if snapshot.count_together(spec, capacity) < spec.tasks:
         return False
     reservation = _reserve_machines(work, spec)
@@ -198,7 +204,7 @@
 
 
 def _is_plan_valid(work: SchedulingPass, job: Job, planned: RouteRecord, last_attempt: int) -> bool:
-    """Tell whether a plan is being carried out, or can be still."""
+    """Tell whether a cross-shard plan has been started or can still be started."""
     if job.placed_tasks:
         return True
     return (
@@ -212,8 +218,8 @@
     )
 
 
-def _allocate_promised(work: SchedulingPass, job: Job) -> None:
-    """Keep from others what a gang has been promised and has not taken yet."""
+def _allocate_planned_machines(work: SchedulingPass, job: Job) -> None:
+    """Allocate the planned machines of tasks that are not placed yet, so that other jobs do not use them."""
     snapshot = work.snapshot
     for route in job.routes.values():
         for task, name in (route.record.machines or {}).items():
@@ -225,7 +231,7 @@
 
 
 def _reserve_machines(work: SchedulingPass, spec: JobSpec) -> _GangReservation | None:
-    """Find the earliest time at which the gang fits, and the machines for it."""
+    """Reserve machines for the gang at the earliest time at which it fits; None if it never fits."""
     candidates = work.candidates()
     start_at_us = reserve_earliest(spec, spec.tasks, candidates, work.wall_us, max(spec.estimate_us, 1))
     machines: list[SnapshotMachine] = []
--- a/pearstep/leader/route_planner.py
+++ b/pearstep/leader/route_planner.py
@@ -1,8 +1,8 @@
-"""The leader's route planner: routes work to shards within the teams' limits. It commands no machine.
+"""The leader's route planner: routes jobs to shards within the teams' quota limits.
 
-It sees only what is committed, so a new leader continues where the last one stopped. A route is a
-permission to place; a team's tasks count against its limit from the route on, until there is evidence
-that they are gone.
+The planner sends no commands to machines. It reads committed records only, so a new leader continues where
+the previous one stopped. A route permits a shard to place tasks. A task counts against its team's limit from
+the time it is routed until there is evidence that it is gone.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
 
-# Failures without a success from which the leader takes the job for faulty.
-FAILING_AFTER = 3
-# The backoff of a failing job doubles up to two to this power seconds.
+# A job with this many failures and no completed task is treated as failing.
+MIN_FAILURES_OF_FAILING_JOB = 3
+# The backoff of a failing job doubles up to 2 to this power seconds.
 MAX_BACKOFF_EXPONENT = 6
 
 
 class FailingJob:
-    """What the leader remembers of a job that only ever failed.
+    """The backoff of a job of which no task has completed.
 
     Attributes:
-        failures: Consecutive failures when it was last looked at.
-        tries: How often it was tried.
-        retry_at_us: When it is tried again, by the monotonic clock.
+        failures: The job's consecutive failures when it was last checked.
+        tries: How many times the failures have increased.
+        retry_at_us: The time of the next try, by the monotonic clock.
     """
 
     __slots__ = ("failures", "retry_at_us", "tries")
 
     def __init__(self) -> None:
-        """Begin with a job that has not been held back."""
+        """Start without a backoff."""
         self.failures = 0
         self.tries = 0
         self.retry_at_us = 0
@@ -57,11 +57,11 @@
 
 
 class RoutePlanner:
-    """Plans routes from the replica. Everything it remembers can be derived again.
+    """Plans routes from the replica. All state that it keeps between passes can be rebuilt.
 
     Attributes:
-        unplaced: Routed tasks that found no room in the last pass.
-        without_machine: Tasks that could not be routed in the last pass, since nothing can hold them.
+        unplaced: Routed tasks for which the last pass found no free resources.
+        unroutable: Tasks that the last pass could not route because no shard can hold them.
     """
 
     def __init__(  # noqa: PLR0913 - collaborators first, then the tuning, as federation and tests give them
@@ -75,17 +75,18 @@
         start_objectives: StartObjectives | None = None,
         first_start_within_us: int = 0,
     ) -> None:
-        """Plan over a replica.
+        """Create a planner over a replica.
 
         Args:
             fencing_token: The leadership's fencing token.
-            replica: What is committed.
-            machine_types: The machine types on offer.
-            teams: The teams with their limits.
-            shard_count: How many shards there are.
-            backlog: How many tasks of one job are routed beyond what fits now.
-            start_objectives: Within which times classes are to start.
-            first_start_within_us: How long a job may wait for its first start before it goes ahead of others.
+            replica: The replica of the committed records.
+            machine_types: The available machine types by name.
+            teams: The teams with their quota limits, by name.
+            shard_count: The number of shards.
+            backlog: The maximum number of tasks of one job that are routed beyond what fits now.
+            start_objectives: The start objectives by job class.
+            first_start_within_us: The time within which each job is to start its first task; a job that has
+                waited half of it is scheduled ahead of others. 0: no limit.
         """
         self.fencing_token = fencing_token
         self.replica = replica
@@ -96,17 +97,17 @@
         self.first_start_within_us = first_start_within_us
         self.ledger = AllocationLedger(replica, machine_types)
         self.unplaced: list[UnplacedWork] = []
-        self.without_machine: list[UnplacedWork] = []
+        self.unroutable: list[UnplacedWork] = []
         self.failing_jobs: dict[str, FailingJob] = {}
 
     def snapshot_machines(self) -> list[SnapshotMachine]:
-        """Return the machines and what is free on them by the records."""
+        """Return the machines with the resources that the records leave free."""
         return self.ledger.snapshot_machines()
 
-    def ordered(self, now_us: int, wall_us: int) -> list[Job]:
-        """Return jobs with tasks that wait, in the order in which they are served.
+    def ordered_jobs(self, now_us: int, wall_us: int) -> list[Job]:
+        """Return the jobs with waiting tasks in scheduling order.
 
-        Those that only ever failed come last and are left out during their backoff.
+        Failing jobs come last and are omitted during their backoff.
         """
         jobs = [
             job
@@ -132,13 +133,13 @@
         return jobs
 
     def _is_backing_off(self, job: Job, now_us: int) -> bool:
-        """Tell whether a job that fails everywhere is left alone for now.
+        """Tell whether a failing job is in its backoff.
 
-        Seen: gangs submitted with a mistake, spread over the shards, were gathered and failed again every few
-        seconds, and machines were rented for them.
+        Seen: gangs that were submitted with a mistake and spread over the shards assembled and failed again
+        every few seconds, and machines were rented for them.
         """
         job_id, failures = job.spec.job_id, job.consecutive_failures
-        if failures < FAILING_AFTER:
+        if failures < MIN_FAILURES_OF_FAILING_JOB:
             self.failing_jobs.pop(job_id, None)
             return False
         failing = self.failing_jobs.setdefault(job_id, FailingJob())
@@ -146,22 +147,22 @@
         return now_us < failing.retry_at_us
 
     def plan(self, now_us: int, settle_us: int, wall_us: int) -> list[RoutePlan]:
-        """Plan one pass.
+        """Plan one scheduling pass.
 
         Args:
-            now_us: The monotonic clock.
-            settle_us: How long a route is left where it is before its tasks are moved.
-            wall_us: The wall clock.
+            now_us: The current time of the monotonic clock.
+            settle_us: The minimum age of a route before its tasks are moved.
+            wall_us: The current wall time.
 
         Returns:
-            Routes that should change, in order of importance.
+            The plans that change routes, most important first.
         """
         for job_id in [each for each in self.failing_jobs if each not in self.replica.open_jobs]:
             del self.failing_jobs[job_id]
         self.replica.machine_reservations.refresh(self.ledger.machine_types.values(), now_us)
-        jobs = self.ordered(now_us, wall_us)
+        jobs = self.ordered_jobs(now_us, wall_us)
         self.unplaced = []
-        self.without_machine = []
+        self.unroutable = []
         if not jobs:
             return []
         snapshot = ClusterSnapshot(
@@ -169,7 +170,7 @@
         )
         quota_limits = QuotaLimits(self.replica, self.teams)
         work = SchedulingPass(self.replica, snapshot, quota_limits, now_us, settle_us, wall_us)
-        work.patient_classes = self._patient_classes()
+        work.boot_tolerant_classes = self._boot_tolerant_classes()
         task_routing = TaskRoutingConfig(
             backlog=self.backlog,
             start_objectives=self.start_objectives,
@@ -183,20 +184,22 @@
         if quota_limits.waiting_priority:
             unfinished = [job for job in self.replica.open_jobs.values() if not job.is_final]
             quota_limits.reclaim(unfinished, work.route_plans)
-        # Nothing is rented for what fails wherever it runs.
-        self.unplaced = self._not_failing(work.unplaced)
-        self.without_machine = self._not_failing(work.without_machine)
+        # No machines are rented for failing jobs.
+        self.unplaced = self._without_failing_jobs(work.unplaced)
+        self.unroutable = self._without_failing_jobs(work.unroutable)
         return [plan for plan in work.route_plans.values() if plan.changed]
 
-    def _not_failing(self, unplaced: list[UnplacedWork]) -> list[UnplacedWork]:
+    def _without_failing_jobs(self, unplaced: list[UnplacedWork]) -> list[UnplacedWork]:
         return [work for work in unplaced if work.job.spec.job_id not in self.failing_jobs]
 
-    def _patient_classes(self) -> frozenset[str]:
-        """Return the classes that have time for a boot, and so also for an image.
+    def _boot_tolerant_classes(self) -> frozenset[str]:
+        """Return the job classes whose start objective is covers a machine boot, and so also an image fetch.
 
-        Their gangs leave machines with accelerators to others where they can.
+        Where possible, gangs of these classes without accelerators avoid machines that have them.
         """
-        boot_us = max((each.boot_us for each in self.ledger.machine_types.values()), default=0)
+        boot_us = max(
+            (machine_type.boot_us for machine_type in self.ledger.machine_types.values()), default=0
+        )
         return frozenset(
-            job_class for job_class, within in self.start_objectives.items() if within[0] >= boot_us
+            job_class for job_class, objective in self.start_objectives.items() if objective[0] >= boot_us
         )
--- a/pearstep/leader/task_routing.py
+++ b/pearstep/leader/task_routing.py
@@ -14,9 +14,9 @@
 from pearstep.state.job import Job, Route
 from pearstep.state.replica import Replica
 
-# A route to a zone without room is taken back after so many settling times.
+# A route to a zone without free resources is withdrawn after this many settling times.
 ZONE_SETTLE_TIMES = 5
-# The zone of tasks on machines that are not known any more.
+# The zone counted for tasks on machines that have no record any more.
 UNKNOWN_ZONE = "?"
 
 
@@ -25,9 +25,10 @@
     """The operators' tuning of the routing of tasks.
 
     Attributes:
-        backlog: How many tasks of one job are routed beyond what fits now.
-        start_objectives: Within which times classes are to start.
-        first_start_within_us: How long a job may wait for its first start before it goes ahead of others.
+        backlog: The maximum number of tasks of one job that are routed beyond what fits now.
+        start_objectives: The start objectives by job class.
+        first_start_within_us: The time within which each job is to start its first task; a job that has
+            waited half of it is scheduled ahead of others.
     """
 
     backlog: int
@@ -38,13 +39,14 @@
 def route_tasks(work: SchedulingPass, job: Job, config: TaskRoutingConfig) -> None:
     """Route the tasks of an array or a service.
 
-    First come those that are routed and wait: they use their shard's room, or move where there is room.
+    Tasks that are routed but not placed come first: they use their shard's free resources, or move to a shard
+    that has some.
     """
     _reconsider_routes(work, job)
     spec = job.spec
     unrouted = spec.all_tasks & ~job.done_tasks & ~job.routed_tasks & ~job.placed_tasks & ~job.offloaded_tasks
     if job.is_overdue(work.wall_us, config.first_start_within_us):
-        # Its first task goes before others' work, not all of it.
+        # Only the first task of an overdue job is scheduled ahead of other jobs.
         unrouted = 0 if job.routed_tasks else unrouted & -unrouted
     if unrouted and not work.quota_limits.is_held_back(spec):
         NewRoutes(work, job, config).route(unrouted)
@@ -73,24 +75,24 @@
         if routed_for_us <= work.settle_us:
             continue
         if not route.zone_tasks:
-            moved += _move(work, job, shard_id, task_numbers(waiting)[fitting:])
+            moved += _move_waiting_tasks(work, job, shard_id, task_numbers(waiting)[fitting:])
         elif routed_for_us > ZONE_SETTLE_TIMES * work.settle_us:
-            # Bound to a zone without room: taken back, so that the zone is chosen afresh.
+            # The tasks are bound to a zone without free resources; the next pass chooses a zone again.
             work.route_plan(job).remove(shard_id, waiting)
     if unplaced > moved:
         work.unplaced.append(UnplacedWork(job, unplaced - moved))
 
 
-def _move(work: SchedulingPass, job: Job, shard_id: int, tasks: list[int]) -> int:
-    """Move tasks that wait without room to where there is some, and count them."""
+def _move_waiting_tasks(work: SchedulingPass, job: Job, shard_id: int, tasks: list[int]) -> int:
+    """Move waiting tasks to shards with free resources and return how many were moved."""
     spec = job.spec
-    free = work.snapshot.free_by_shard(spec, None)
+    free_by_shard = work.snapshot.free_by_shard(spec, None)
     moves: dict[int, int] = {}
     for task in tasks:
-        target = max(free, key=lambda shard: (free[shard], -shard), default=shard_id)
-        if target == shard_id or not free[target]:
+        target = max(free_by_shard, key=lambda shard: (free_by_shard[shard], -shard), default=shard_id)
+        if target == shard_id or not free_by_shard[target]:
             break
-        free[target] -= 1
+        free_by_shard[target] -= 1
         moves[target] = moves.get(target, 0) | 1 << task
     for target, mask in moves.items():
         work.snapshot.allocate(spec, mask.bit_count(), target, None)
@@ -100,13 +102,13 @@
     return sum(mask.bit_count() for mask in moves.values())
 
 
-def _count_by_zone(replica: Replica, job: Job) -> dict[str, int]:
-    """Count the tasks of the job that are in each zone, or may be."""
+def _count_tasks_by_zone(replica: Replica, job: Job) -> dict[str, int]:
+    """Count the tasks of the job that are placed in each zone or routed to it."""
     counts: dict[str, int] = {}
     for placements in job.placements.values():
-        for place in placements.record.placements.values():
-            known = replica.machines.get(place.machine)
-            zone = known[1].zone if known else UNKNOWN_ZONE
+        for placement in placements.record.placements.values():
+            registered = replica.machines.get(placement.machine)
+            zone = registered[1].zone if registered else UNKNOWN_ZONE
             counts[zone] = counts.get(zone, 0) + 1
     for route in job.routes.values():
         for zone, mask in route.zone_tasks.items():
@@ -117,73 +119,80 @@
 
 
 def _yields_to_gangs(work: SchedulingPass, job: Job, objectives: StartObjectives) -> bool:
-    """Tell whether the job has time, and gangs that are to start sooner find no room.
+    """Tell whether the job can wait while gangs with a shorter start objective are unplaced.
 
-    It has time for half of the time within which its class is to start.
+    A job can wait for half of the start objective of its class.
     """
-    within = objectives.get(job.spec.job_class)
+    objective = objectives.get(job.spec.job_class)
     return (
-        within is not None
+        objective is not None
         and job.spec.spot
-        and work.wall_us - job.submitted_at_us < within[0] // 2
+        and work.wall_us - job.submitted_at_us < objective[0] // 2
         and any(
             other.spec.kind == "gang"
             and not other.spec.spot
-            and objectives.get(other.spec.job_class, within) < within
+            and objectives.get(other.spec.job_class, objective) < objective
             for other, _ in work.unplaced
         )
     )
 
 
 class _RouteTarget(NamedTuple):
-    """Where a task is routed: a shard, and a zone in it if the job is bound to zones."""
+    """The shard a task is routed to, and the zone if the job is bound to zones."""
 
     shard_id: int
     zone: str | None
 
 
 class NewRoutes:
-    """First routes for tasks of one job: singly to the shard with most free, and a few beyond what fits."""
+    """Routes the unrouted tasks of one job.
+
+    Each task goes to the shard with most free resources; up to ``backlog`` tasks are routed beyond what fits.
+    """
 
     def __init__(self, work: SchedulingPass, job: Job, config: TaskRoutingConfig) -> None:
-        """Look at what the job has in each shard and zone."""
+        """Count the job's tasks by shard and zone."""
         spec = job.spec
         self.work = work
         self.job = job
         self.spec: JobSpec = spec
         self.is_zone_bound = bool(spec.one_zone or spec.spread)
-        self.zone_counts = _count_by_zone(work.replica, job) if self.is_zone_bound else {}
-        # What a shard may hold of one job before it has placed it. Seen with 25,000 small tasks on an idle
-        # fleet: all were routed at once, to each shard every fifth, and no such list fits into a record.
+        self.zone_counts = _count_tasks_by_zone(work.replica, job) if self.is_zone_bound else {}
+        # Each shard has a limit of waiting tasks. Seen with 25,000 small tasks on an idle fleet: all were
+        # routed at once, every fifth task to the same shard, and such a list does not fit into a record.
         self.waiting_by_shard = {
             shard_id: waiting_tasks(job, route).bit_count() for shard_id, route in job.routes.items()
         }
         self.waiting = sum(self.waiting_by_shard.values())
-        # While gangs that are to start soon wait, work that may start later leaves them the machines
-        # that they can use. Seen: room that came free in pieces went to small tasks at once, and a gang
-        # of 16 never found enough of it together.
-        yields = not self.is_zone_bound and _yields_to_gangs(work, job, config.start_objectives)
-        self.backlog = 0 if yields else config.backlog
-        self.free = {} if self.is_zone_bound else work.snapshot.free_by_shard(spec, None, yields)
+        # While gangs with a shorter start objective wait, jobs that may start later do not use the machines
+        # that those gangs could use. Seen: resources that were freed bit by bit went to small tasks at once,
+        # and a gang of 16 never found enough free resources at the same time.
+        yields_to_gangs = not self.is_zone_bound and _yields_to_gangs(work, job, config.start_objectives)
+        self.backlog = 0 if yields_to_gangs else config.backlog
+        self.free = {} if self.is_zone_bound else work.snapshot.free_by_shard(spec, None, yields_to_gangs)
         self.counts: dict[_RouteTarget, int] = {}
         self.remaining = 0
 
     def route(self, unrouted: int) -> None:
-        """Route as many as may be of a mask of tasks."""
+        """Route as many tasks of a mask as limits and capacity allow."""
         self.remaining = unrouted.bit_count()
         while self.remaining and self._route_next():
             pass
         self._add_to_plan(unrouted)
         limits = self.work.max_waiting_tasks
-        is_limited = any(count >= limits[shard_id] for shard_id, count in self.waiting_by_shard.items())
-        if self.remaining and not is_limited:
-            self.work.without_machine.append(UnplacedWork(self.job, self.remaining))
+        at_waiting_limit = any(count >= limits[shard_id] for shard_id, count in self.waiting_by_shard.items())
+        if self.remaining and not at_waiting_limit:
+            self.work.unroutable.append(UnplacedWork(self.job, self.remaining))
 
     def _route_next(self) -> bool:
-        """Choose a shard for one more task; False if no more can be routed."""
+        """Choose a shard for one more task.
+
+        Returns:
+            False if no more tasks can be routed.
+        """
         quota_limits = self.work.quota_limits
         if not quota_limits.allows(self.spec, 1):
-            # Renting would not help: the team's limit holds the rest back.
+            # The team's quota limit blocks the remaining tasks, so renting machines would not help.
             quota_limits.mark_waiting(self.spec)
             self.remaining = 0
             return False
@@ -206,7 +215,7 @@
         return True
 
     def _choose_zone(self) -> str | None:
-        """Choose the zone for the next task of a job that is bound to zones; None if there is none."""
+        """Return the zone for the next task of a job that is bound to zones; None if there is none."""
         spec = self.spec
         counts = self.zone_counts
         if spec.one_zone and counts:
@@ -222,11 +231,11 @@
         )
 
     def _choose_shard(self, zone: str | None) -> int | None:
-        """Choose the shard with most free and use that up, or one to wait in; None if there is none."""
+        """Allocate in the shard with most free resources, or choose one to wait in; None if there is none."""
         free = self.free
         shard_id = max(free, key=lambda shard: (free[shard], -shard), default=None)
         if shard_id is None or not free[shard_id]:
-            return self._choose_shard_to_wait_in(zone)
+            return self._choose_waiting_shard(zone)
         if self.waiting_by_shard.get(shard_id, 0) >= self.work.max_waiting_tasks[shard_id]:
             return None
         free[shard_id] -= 1
@@ -234,14 +243,14 @@
             self.work.snapshot.allocate(self.spec, 1, shard_id, zone)
         return shard_id
 
-    def _choose_shard_to_wait_in(self, zone: str | None) -> int | None:
-        """Choose the shard with least load that could hold the task, within the backlog."""
+    def _choose_waiting_shard(self, zone: str | None) -> int | None:
+        """Return the least loaded shard that could hold the task when empty; None if the backlog is full."""
         if self.waiting >= self.backlog:
             return None
-        able = self.work.snapshot.shards_when_empty(self.spec, zone)
-        if not able:
+        capable_shards = self.work.snapshot.shards_when_empty(self.spec, zone)
+        if not capable_shards:
             return None
-        shard_id = min(able, key=self.work.load_order)
+        shard_id = min(capable_shards, key=self.work.load_order)
         self.work.load[shard_id] += self.spec.cpus
         self.waiting += 1
         self.work.unplaced.append(UnplacedWork(self.job, 1))
@@ -249,7 +258,7 @@
 
     def _add_to_plan(self, unrouted: int) -> None:
         for target, count in self.counts.items():
-            # Each shard's tasks in a row, so that the record stays short.
+            # Each shard gets consecutive task numbers, which keeps its record short.
             mask = sum(1 << task for task in task_numbers(unrouted, count))
             unrouted &= ~mask
             self.work.route_plan(self.job).add(target.shard_id, target.zone, mask)
--- a/pearstep/leader/unplaced_work.py
+++ b/pearstep/leader/unplaced_work.py
@@ -1,4 +1,4 @@
-"""Work that found no room in a scheduling pass."""
+"""Tasks for which a scheduling pass found no free resources."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class UnplacedWork(NamedTuple):
-    """Tasks of a job that wait for room.
+    """Tasks of a job that wait for free resources.
 
     Attributes:
         job: The job.
-        tasks: How many of its tasks wait.
+        tasks: The number of its tasks that wait.
     """
 
     job: Job
--- a/tests/test_faulty.py
+++ b/tests/test_faulty.py
@@ -75,15 +75,15 @@
     job = spec(tasks=4, kind="gang")
     o.submit(job)
     o.route()
-    assert o.fleet.plan_scale_out(o.leader.unplaced + o.leader.without_machine, o.now, o.now)
+    assert o.fleet.plan_scale_out(o.leader.unplaced + o.leader.unroutable, o.now, o.now)
     o.place(0, "req-1", [])
     placed = o.replica.jobs["req-1"].placements[0, 0]
     o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=4))
     for _ in range(3):
         o.route()
-        assert not o.leader.unplaced + o.leader.without_machine
+        assert not o.leader.unplaced + o.leader.unroutable
     o.now += MAX_BACKOFF_S * SECOND_US
-    assert [j.spec.job_id for j in o.leader.ordered(o.now, o.now)] == ["req-1"]
+    assert [j.spec.job_id for j in o.leader.ordered_jobs(o.now, o.now)] == ["req-1"]
     o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=0, done="1"))
     assert not o.leader._is_backing_off(o.replica.jobs["req-1"], o.now)
 
@@ -113,7 +113,7 @@
         o.route()
     routes = o.replica.jobs["req-1"].routes.values()
     assert sum(r.tasks.bit_count() for r in routes) > 512 and max(r.tasks.bit_count() for r in routes) <= 512
-    assert not o.leader.without_machine  # nothing is rented for what waits its turn
+    assert not o.leader.unroutable  # nothing is rented for what waits its turn
 
 
 def test_record_of_many_running_tasks_stays_within_a_value():
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -168,7 +168,7 @@
     job = spec("req-1", tasks=6)
     o.submit(job)
     o.route()
-    unplaced = o.leader.unplaced + o.leader.without_machine
+    unplaced = o.leader.unplaced + o.leader.unroutable
     # Of zones that cost the same each is asked for its share.
     requests = {(w.type, w.zone, w.spot, w.count) for w in o.fleet.plan_scale_out(unplaced, o.now, o.now)}
     assert requests == {("small", "a", False, 1), ("small", "b", False, 1)}
@@ -180,7 +180,7 @@
     o = Office()
     o.submit(spec("req-1", tasks=1))
     o.route()
-    unplaced = o.leader.without_machine
+    unplaced = o.leader.unroutable
     for zone in ("a", "b"):
         o.fleet.record_refusal(InstanceKind("small", zone, False), o.now)
     (request,) = o.fleet.plan_scale_out(unplaced, o.now, o.now)
@@ -240,7 +240,7 @@
     for n in range(4):
         o.submit(spec(f"req-{n}", kind="gang", tasks=1, cpus=30.0), at=n)
     o.route()
-    unplaced = o.leader.unplaced + o.leader.without_machine
+    unplaced = o.leader.unplaced + o.leader.unroutable
     for zone in ("a", "b"):
         o.fleet.record_refusal(InstanceKind("small", zone, False), o.now)
     requests = o.fleet.plan_scale_out(unplaced, o.now, o.now)
@@ -254,7 +254,7 @@
     for n in range(2):
         o.submit(spec(f"req-{n}", kind="gang", tasks=2, cpus=30.0, one_zone=True), at=n)
     o.route()
-    requests = o.fleet.plan_scale_out(o.leader.unplaced + o.leader.without_machine, o.now, o.now)
+    requests = o.fleet.plan_scale_out(o.leader.unplaced + o.leader.unroutable, o.now, o.now)
     assert {(w.zone, w.count) for w in requests} == {("a", 2), ("b", 2)}
 
 
@@ -317,7 +317,7 @@
     o.leader.first_start_within_us = 240 * SECOND_US
     o.submit(spec("req-1", tasks=30, priority=3), at=o.now)
     o.submit(spec("req-2", tasks=30, priority=2), at=o.now)
-    order = lambda: [j.spec.job_id for j in o.leader.ordered(o.now, o.now)]  # noqa: E731
+    order = lambda: [j.spec.job_id for j in o.leader.ordered_jobs(o.now, o.now)]  # noqa: E731
     assert order() == ["req-2", "req-1"]
     o.now += 119 * SECOND_US
     assert order() == ["req-2", "req-1"]
@@ -355,7 +355,7 @@
     assert "p/0/req-1/0" in o.ledger.keys and not o.replica.placements_by_machine
     o.submit(spec("req-2", tasks=9))
     o.route()
-    unplaced = o.leader.unplaced + o.leader.without_machine
+    unplaced = o.leader.unplaced + o.leader.unroutable
     o.fleet.observe(o.now, o.now)
     assert unplaced and o.fleet.plan_scale_out(unplaced, o.now, o.now)
     slots = o.leader.snapshot_machines()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -173,7 +173,7 @@
     )
     assert home_name(job.spec.job_id) == "req-5" and home_name("req-5") == "req-5"
     leader = RoutePlanner(1, there.view, TYPES, {"t": Team("t")}, 1, 12, {"urgent": (1,)})
-    assert leader.ordered(0, 60) == [job]
+    assert leader.ordered_jobs(0, 60) == [job]
     there.put("p/0/lent-huye-5-9/0", PlacementRecord({}, f"{0b011000:x}", 1))
     assert job.all_tasks_done
     assert borrowed_rec("huye", "req-5", msgspec.structs.replace(book, spec=None), 0) is None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -188,7 +188,7 @@
     o.submit(spec("req-1", tasks=4 * FLEET))
     routes = o.route()
     assert [abs(mask.bit_count() - most) <= 2 for mask in routes.values()] == [True] * 3
-    assert not o.leader.without_machine
+    assert not o.leader.unroutable
     assert max(len(raw) for key, (raw, _) in o.ledger.keys.items() if key.startswith("r/")) < 2048
 
 
--- a/tests/test_scarce.py
+++ b/tests/test_scarce.py
@@ -136,7 +136,7 @@
     o.submit(WHOLE)
     o.submit(spec("req-2", tasks=tasks, cpus=4.0, memory_gb=20.0), at=1)
     o.route()
-    return o, o.leader.unplaced + o.leader.without_machine
+    return o, o.leader.unplaced + o.leader.unroutable
 
 
 def test_kept_machines_are_not_rented_for_small_work_and_frees_count_for_their_own():
@@ -151,7 +151,7 @@
     o = Office()
     o.submit(spec("req-1", tasks=1, cpus=8.0, memory_gb=30.0))
     o.route()
-    unplaced = o.leader.without_machine
+    unplaced = o.leader.unroutable
     for zone in ZONES:
         o.fleet.record_refusal(InstanceKind("small", zone, False), o.now)
     # 0.5 a place on small machines, 2.4 on big ones.
