--- a/pearstep/leader/cluster_snapshot.py
+++ b/pearstep/leader/cluster_snapshot.py
@@ -1,4 +1,4 @@
-"""The leader's snapshot of the machines: what the records leave free, while routes are planned."""
+"""The leader's snapshot of the machines and their free resources while routes are planned."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     """Machines that are counted together.
 
     Attributes:
-        shard_id: The shard that they belong to.
-        zone: The zone that they are in.
-        spot: Whether they are spot instances.
-        has_gpus: Whether they have accelerators.
+        shard_id: The shard of the machines.
+        zone: The zone of the machines.
+        spot: Whether the machines are spot instances.
+        has_gpus: Whether the machines have accelerators.
     """
 
     shard_id: int
@@ -36,13 +36,13 @@
 
 
 class SnapshotMachine:
-    """A machine as the leader plans with it.
+    """A machine in the leader's snapshot.
 
     Attributes:
-        free_by_records: What the records leave free.
-        free: What a pass has not used up yet.
-        usable: Whether its shard has an owner and it is not being drained.
-        running_specs: The specifications of the tasks on it, one for each task.
+        free_by_records: The resources that the committed records leave free.
+        free: The resources that the current pass has not allocated yet.
+        usable: Whether the machine's shard has an owner and the machine is not being drained.
+        running_specs: The job specification of each task on the machine.
     """
 
     __slots__ = (
@@ -62,7 +62,15 @@
     def __init__(
         self, name: str, shard_id: int, record: MachineRecord, machine_type: MachineType, total: FreeResources
     ) -> None:
-        """Begin with a machine on which nothing runs; ``total`` becomes its own."""
+        """Create a machine without tasks.
+
+        Args:
+            name: The name of the machine.
+            shard_id: The shard of the machine.
+            record: The machine's record.
+            machine_type: The machine's type.
+            total: The resources of the empty machine; the machine keeps and changes this object.
+        """
         self.name = name
         self.shard_id = shard_id
         self.machine_type = machine_type
@@ -76,7 +84,7 @@
         self.running_specs: list[JobSpec] = []
 
     def allows(self, spec: JobSpec, zone: str | None) -> bool:
-        """Tell whether the job may use this machine, and it is in the zone, if one is given."""
+        """Tell whether the job may use this machine and the machine is in the zone, if one is given."""
         return (
             self.usable
             and (spec.types is None or self.machine_type.name in spec.types)
@@ -86,7 +94,7 @@
         )
 
     def free_if_preempted(self, priority: int) -> FreeResources:
-        """Return what would be free if all work below a priority were preempted."""
+        """Return the resources that would be free if all tasks of lower priority were preempted."""
         free = self.free
         if any(running.priority > priority for running in self.running_specs):
             free = free.copy()
@@ -97,10 +105,13 @@
 
 
 class AllocationLedger:
-    """All machines, kept from pass to pass: only those whose records have changed are counted anew."""
+    """All machines with their allocations, kept between passes.
+
+    Only machines whose records have changed are counted again.
+    """
 
     def __init__(self, replica: Replica, machine_types: dict[str, MachineType]) -> None:
-        """Begin with all machines of the replica to be counted."""
+        """Mark all machines of the replica for counting."""
         self.replica = replica
         self.machine_types = machine_types
         self._machines: dict[str, SnapshotMachine] = {}
@@ -109,7 +120,7 @@
         self.machines_recounted = 0
 
     def snapshot_machines(self) -> list[SnapshotMachine]:
-        """Return the machines as the records stand, each with free resources of its own to plan with."""
+        """Return the machines by the current records, each with a copy of its free resources to plan with."""
         to_recount = self._to_recount | self.replica.changed_machines
         if self._reservations_version != self.replica.machine_reservations.version:
             self._reservations_version = self.replica.machine_reservations.version
@@ -127,11 +138,11 @@
         return machines
 
     def _recount(self, name: str) -> None:
-        known = self.replica.machines.get(name)
-        if known is None:
+        registered = self.replica.machines.get(name)
+        if registered is None:
             self._machines.pop(name, None)
             return
-        shard_id, record = known
+        shard_id, record = registered
         machine_type = self.machine_types.get(record.type)
         if machine_type is None:
             self._to_recount.add(name)
@@ -147,7 +158,7 @@
 
 
 class ClusterSnapshot:
-    """The machines of one pass with counts of what fits where."""
+    """The machines of one pass, with counts of the tasks that fit on them."""
 
     def __init__(
         self,
@@ -155,7 +166,7 @@
         shard_ids: Iterable[int],
         reservations: WholeMachineReservations,
     ) -> None:
-        """Take up machines; each shard is known, also one without machines."""
+        """Index the machines by shard; shards without machines are included."""
         self.machines = machines
         self.by_name = {machine.name: machine for machine in machines}
         self.by_shard: dict[int, list[SnapshotMachine]] = {shard_id: [] for shard_id in shard_ids}
@@ -170,7 +181,10 @@
         self._with_preemption: dict[int, CapacityIndex[SnapshotMachine, MachineGroup]] = {}
 
     def with_preemption(self, priority: int) -> CapacityIndex[SnapshotMachine, MachineGroup]:
-        """Return what would fit if all work below the priority were preempted, as it was when first asked."""
+        """Return the capacity if all tasks below the priority were preempted.
+
+        It is counted at the first call for a priority and kept for the pass.
+        """
         capacity = self._with_preemption.get(priority)
         if capacity is None:
             capacity = CapacityIndex(
@@ -186,11 +200,11 @@
         shard_id: int | None = None,
         without_gpus: bool = False,
     ) -> int:
-        """Count how many tasks of the job fit at the same time, over the zones that it may use together.
+        """Return how many tasks of the job fit at the same time, within the job's zone constraints.
 
         Args:
             spec: The job.
-            capacity: What counts as free.
+            capacity: The capacity index to count with.
             shard_id: The shard to count in; None: all shards.
             without_gpus: Whether only machines without accelerators count.
         """
@@ -202,11 +216,11 @@
             return 0
         if spec.one_zone:
             return max(zones.values())
-        most = max_tasks_per_zone(spec)
-        return sum(min(count, most) for count in zones.values())
+        max_per_zone = max_tasks_per_zone(spec)
+        return sum(min(count, max_per_zone) for count in zones.values())
 
     def free_by_shard(self, spec: JobSpec, zone: str | None, only_spot: bool = False) -> dict[int, int]:
-        """Count how many tasks fit in each shard, in its machines of one zone, or in its spot machines."""
+        """Return how many tasks fit in each shard, optionally only in one zone or on spot machines."""
         free: dict[int, int] = {}
         for (shard, machine_zone, spot, _), count in self.free_now.by_group(spec).items():
             if count and (zone is None or zone == machine_zone) and (spot or not only_spot):
@@ -214,7 +228,7 @@
         return free
 
     def shards_when_empty(self, spec: JobSpec, zone: str | None) -> set[int]:
-        """Return the shards that have a machine which could hold a task of the job if it were empty."""
+        """Return the shards with a machine that could hold a task of the job when empty."""
         return {
             shard
             for (shard, machine_zone, *_), count in self.when_empty.by_group(spec).items()
@@ -222,41 +236,43 @@
         }
 
     def allocate(self, spec: JobSpec, count: int, shard_id: int, zone: str | None) -> int:
-        """Use up free resources of a shard for tasks.
+        """Allocate free resources of a shard to tasks.
 
-        Machines without accelerators go first, then the fullest.
+        Machines without accelerators come first, then spot machines, then the machines with least free CPUs.
 
         Returns:
-            How many of the tasks found room.
+            How many of the tasks were allocated.
         """
         if not any(
             fitting and shard == shard_id and (zone is None or zone == machine_zone)
             for (shard, machine_zone, *_), fitting in self.free_now.by_group(spec).items()
         ):
             return 0
-        left = count
-        able = [
+        remaining = count
+        capable_machines = [
             machine
             for machine in self.by_shard[shard_id]
             if machine.free.fits(spec) and machine.allows(spec, zone)
         ]
-        able.sort(key=lambda machine: (machine.machine_type.gpus > 0, not machine.spot, machine.free.cpus))
-        for machine in able:
-            fitting = machine.free.count_fitting(spec, left)
+        capable_machines.sort(
+            key=lambda machine: (machine.machine_type.gpus > 0, not machine.spot, machine.free.cpus)
+        )
+        for machine in capable_machines:
+            fitting = machine.free.count_fitting(spec, remaining)
             if fitting:
                 self.allocate_on(machine, spec, fitting)
-                left -= fitting
-            if not left:
+                remaining -= fitting
+            if not remaining:
                 break
-        return count - left
+        return count - remaining
 
     def allocate_on(self, machine: SnapshotMachine, spec: JobSpec, count: int) -> None:
-        """Use up free resources of one machine."""
+        """Allocate free resources of one machine."""
         machine.free.allocate(spec, count)
         self.free_now.update(machine)
 
     def allocate_gang(self, spec: JobSpec, shard_id: int) -> None:
-        """Use up free resources for a gang that fits in the shard."""
+        """Allocate free resources to a gang that fits in the shard."""
         zone = None
         if spec.one_zone:
             by_zone: dict[str, int] = {}
@@ -267,7 +283,10 @@
         self.allocate(spec, spec.tasks, shard_id, zone)
 
     def count_with_image(self, spec: JobSpec, shard_id: int) -> int:
-        """Count the tasks of a gang that find the image there: it starts when the last fetch is over."""
+        """Return how many tasks of a gang fit on the shard's machines that hold its image.
+
+        The gang starts when the last image fetch is finished.
+        """
         by_zone: dict[str, int] = {}
         for machine in self.by_shard[shard_id]:
             if spec.image in machine.images and machine.free.fits(spec) and machine.allows(spec, None):
@@ -276,19 +295,19 @@
         return min(max(by_zone.values(), default=0), spec.tasks)
 
     def candidates(self, replica: Replica, wall_us: int) -> list[Candidate]:
-        """Return the usable machines with what should end on them when, for reservations over all shards.
+        """Return the usable machines with the expected ends of their tasks, for reservations over all shards.
 
-        They share their free resources with the machines of the snapshot.
+        The candidates share their free resources with the machines of the snapshot.
         """
         candidates: list[Candidate] = []
         for machine in self.machines:
             if machine.usable:
-                ends = [
+                expected_ends = [
                     (
-                        max(place.placed_at_us + replica.jobs[job_id].spec.estimate_us, wall_us + 1),
+                        max(placement.placed_at_us + replica.jobs[job_id].spec.estimate_us, wall_us + 1),
                         replica.jobs[job_id].spec,
                     )
-                    for (job_id, _), place in replica.placements_by_machine.get(machine.name, {}).items()
+                    for (job_id, _), placement in replica.placements_by_machine.get(machine.name, {}).items()
                 ]
                 candidates.append(
                     Candidate(
@@ -297,7 +316,7 @@
                         machine.zone,
                         machine.spot,
                         machine.free,
-                        expected_ends=ends,
+                        expected_ends=expected_ends,
                     )
                 )
         return candidates
--- a/pearstep/leader/quota_limits.py
+++ b/pearstep/leader/quota_limits.py
@@ -1,4 +1,4 @@
-"""Quota limits of the teams: what their tasks use or may use, and reclaiming room within a limit."""
+"""Quota limits of the teams: the usage of their tasks, and withdrawing routes to stay within a limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
 
-# A task that is routed and not placed counts as placed later than any other.
+# The placement time of a task that is routed but not placed; it is later than any real one.
 NOT_PLACED_AT_US = 1 << 62
 
 
@@ -27,18 +27,18 @@
 
 
 def _reclaim_order(entry: _ReclaimableTask) -> tuple[int, int]:
-    """Order the least urgent first, of these what was placed last."""
+    """Return a sort key: the lowest priority first, then the latest placement."""
     return -entry.priority, -entry.placed_at_us
 
 
 class QuotaLimits:
-    """The teams' usage during one pass.
+    """The teams' usage of their quota limits during one pass.
 
-    A team's tasks count from the route on, until there is evidence that they are gone.
+    A task counts from the time it is routed until there is evidence that it is gone.
     """
 
     def __init__(self, replica: Replica, teams: dict[str, Team]) -> None:
-        """Count what the open jobs of a replica use."""
+        """Count the usage of the replica's open jobs."""
         self.teams = teams
         self.waiting_priority: dict[str, int] = {}
         self.usage: dict[str, tuple[float, float]] = {}
@@ -53,29 +53,29 @@
         self.usage[spec.team] = (cpus + count * spec.cpus, gpus + count * spec.gpus)
 
     def allows(self, spec: JobSpec, count: int) -> bool:
-        """Tell whether the team may use that much more."""
+        """Tell whether this many more tasks of the job are within the team's limit."""
         team = self.teams.get(spec.team)
         cpus, gpus = self.usage.get(spec.team, (0.0, 0.0))
         return team is None or team.within_limit(cpus + count * spec.cpus, gpus + count * spec.gpus)
 
     def mark_waiting(self, spec: JobSpec) -> None:
-        """Note that the limit keeps this job waiting: lower-priority work of the team gets no more room."""
+        """Record that the job waits for its team's limit; this holds back lower-priority jobs of the team."""
         waiting = self.waiting_priority.get(spec.team, spec.priority)
         self.waiting_priority[spec.team] = min(waiting, spec.priority)
 
     def is_held_back(self, spec: JobSpec) -> bool:
-        """Tell whether more urgent work of the team waits for its limit."""
+        """Tell whether a job of the same team with higher priority waits for the team's limit."""
         return spec.priority > self.waiting_priority.get(spec.team, spec.priority)
 
     def reclaim(self, jobs: list[Job], route_plans: dict[str, RoutePlan]) -> None:
-        """Make room within the teams' limits for jobs of higher priority that wait for them.
+        """Withdraw routes of lower-priority jobs for jobs that wait for their team's limit.
 
-        Routes are taken back, first of what is not placed, then of what was placed last. An owner stops what
-        it may no longer place.
+        Routes of the lowest priority are withdrawn first; within a priority, those of tasks that are not
+        placed, then those of the latest placements. A shard owner stops tasks whose routes are withdrawn.
 
         Args:
             jobs: The open jobs.
-            route_plans: The plans of this pass by job; those that are needed are added.
+            route_plans: The route plans of this pass by job id; missing plans are added.
         """
         for team_name, priority in self.waiting_priority.items():
             team = self.teams.get(team_name)
@@ -90,14 +90,14 @@
 def _reclaim_for(
     waiting: JobSpec, team: Team, team_jobs: list[Job], route_plans: dict[str, RoutePlan]
 ) -> None:
-    """Withdraw routes until a job that waits is within its team's limit."""
+    """Withdraw routes until a waiting job fits within its team's limit."""
     needed = waiting.tasks if waiting.kind == "gang" else 1
     cpus, gpus = needed * waiting.cpus, needed * waiting.gpus
     reclaimable: list[_ReclaimableTask] = []
     for job in team_jobs:
-        staying = _count_staying(job)
-        cpus += staying * job.spec.cpus
-        gpus += staying * job.spec.gpus
+        remaining = _count_remaining_tasks(job)
+        cpus += remaining * job.spec.cpus
+        gpus += remaining * job.spec.gpus
         if job.spec.priority > waiting.priority and job.spec.kind != "gang" and job.routed_tasks:
             reclaimable.extend(_reclaimable_tasks(job, route_plans))
     reclaimable.sort(key=_reclaim_order)
@@ -109,23 +109,23 @@
         gpus -= entry.plan.job.spec.gpus
 
 
-def _count_staying(job: Job) -> int:
-    """Count the tasks within the quota that are not being stopped already."""
-    leaving = job.placed_tasks & ~job.routed_tasks
-    return (job.tasks_within_quota() & ~leaving).bit_count()
+def _count_remaining_tasks(job: Job) -> int:
+    """Count the tasks that use the quota and are not already being stopped."""
+    stopping = job.placed_tasks & ~job.routed_tasks
+    return (job.tasks_within_quota() & ~stopping).bit_count()
 
 
 def _reclaimable_tasks(job: Job, route_plans: dict[str, RoutePlan]) -> Iterator[_ReclaimableTask]:
-    """Yield the routed tasks of a job whose routes no decision of this pass has changed."""
+    """Yield the routed tasks of a job, unless this pass has already changed the job's routes."""
     plan = route_plans.get(job.spec.job_id)
     if plan is None:
         plan = route_plans[job.spec.job_id] = RoutePlan(job)
     if plan.changed:
         return
     placed_at_us = {
-        task: place.placed_at_us
+        task: placement.placed_at_us
         for placements in job.placements.values()
-        for task, place in placements.record.placements.items()
+        for task, placement in placements.record.placements.items()
     }
     for shard_id, route in job.routes.items():
         for task in task_numbers(route.tasks & ~job.done_tasks):
