--- a/pearstep/controller/leadership.py
+++ b/pearstep/controller/leadership.py
@@ -51,7 +51,7 @@
         refusal_backoff_us=to_us(renting.refused_s),
         boot_factor=renting.boot_factor,
         boot_margin_us=to_us(renting.boot_margin_s),
-        patience=renting.patience,
+        boot_wait_factor=renting.patience,
         overrun_share=settings.tuning.backfilling.overrun,
         urgent_classes=settings.urgent_classes,
         start_objectives=settings.start_objectives,
--- a/pearstep/leader/__init__.py
+++ b/pearstep/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader decides: routes of jobs to shards, and the size of the fleet."""
+"""The decisions of the leader: the routes of jobs to shards, and the size of the fleet."""
--- a/pearstep/leader/autoscaler.py
+++ b/pearstep/leader/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler: what to rent and to return, from the records and the cloud's machine list."""
+"""The autoscaler decides which machines to rent and return, from the records and the cloud's machine list."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from pearstep.state.records import DrainRecord, InstanceRequestRecord, MachineRecord
 from pearstep.state.replica import Replica
 
-# How long machines of a type that is no longer on offer are taken to boot.
+# The boot time assumed for machine types that are no longer available.
 DEFAULT_BOOT_US = 60 * SECOND_US
-# A machine that the cloud's list lacks is gone once it was rented so many times the list's lag ago.
-LIST_LAGS = 3
+# A machine that is missing from the cloud's list is gone if it was rented this many list lags ago.
+MIN_LIST_LAGS_UNTIL_GONE = 3
 
 
 class BootingMachine(NamedTuple):
-    """A rented machine that has not come up: its request, and since when by the monotonic clock."""
+    """A rented machine that has not come up, with its request and its request time by the monotonic clock."""
 
     request: InstanceRequestRecord
     since_us: int
 
 
 class Autoscaler:
-    """What the leader remembers of the fleet; a new leader begins afresh from the records.
+    """The leader's view of the fleet. A new leader rebuilds it from the records.
 
     Attributes:
-        idle_since: Since when machines idle, by the monotonic clock.
-        refused_until_us: Until when kinds are not requested, by the monotonic clock.
-        booting: Rented machines that have not come up.
-        came_up: Rented machines that have come up, or are gone.
+        idle_since: The time since which each idle machine has been idle, by the monotonic clock.
+        refused_until_us: The time before which each instance kind is not requested, by the monotonic clock.
+        booting: The rented machines that have not come up.
+        no_longer_booting: The rented machines that have come up or are gone.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         zones: list[str],
         config: AutoscalerConfig,
     ) -> None:
-        """Begin without any memory of the fleet."""
+        """Start without any observations of the fleet."""
         self.replica = replica
         self.machine_types = machine_types
         self.zones = zones
@@ -56,15 +56,15 @@
         self.idle_since: dict[str, int] = {}
         self.refused_until_us: dict[InstanceKind, int] = {}
         self.booting: dict[str, BootingMachine] = {}
-        self.came_up: set[str] = set()
+        self.no_longer_booting: set[str] = set()
         self.next_consolidation_at_us = 0
 
     def record_refusal(self, kind: InstanceKind, now_us: int) -> None:
-        """Note that the cloud has none of these now."""
+        """Record that the cloud has no capacity for an instance kind now."""
         self.refused_until_us[kind] = now_us + self.config.refusal_backoff_us
 
     def observe(self, now_us: int, wall_us: int) -> None:
-        """Keep track of what boots and what idles."""
+        """Update the sets of booting and idle machines from the records."""
         self._observe_booting(now_us, wall_us)
         self._observe_idle(now_us)
 
@@ -73,12 +73,12 @@
             for name in request.machines or ():
                 if name in self.replica.machines or name in self.replica.drains:
                     continue
-                if name not in self.came_up and name not in self.booting:
+                if name not in self.no_longer_booting and name not in self.booting:
                     age_us = max(wall_us - request.requested_at_us, 0)
                     self.booting[name] = BootingMachine(request, now_us - age_us)
         for name in list(self.booting):
             if name in self.replica.machines or name in self.replica.drains:
-                self.came_up.add(name)
+                self.no_longer_booting.add(name)
                 del self.booting[name]
 
     def _observe_idle(self, now_us: int) -> None:
@@ -91,32 +91,31 @@
             del self.idle_since[name]
 
     def observe_machine_list(self, names: set[str], lag_us: int, wall_us: int) -> None:
-        """Take note of the cloud's machine list.
+        """Stop treating machines as booting if the cloud's machine list lacks them long after their request.
 
-        What is missing in it long after it was rented is gone, not booting. Seen: each new leader took every
-        machine deleted before its time for one that boots, counted on its room, and asked for its deletion
-        again and again.
+        Seen: each new leader treated every machine that had been deleted before its term as booting, counted
+        on its capacity and requested its deletion repeatedly.
 
         Args:
-            names: The machines that are listed.
-            lag_us: How late the list may be.
-            wall_us: The wall clock.
+            names: The names of the listed machines.
+            lag_us: The maximum lag of the list.
+            wall_us: The current wall time.
         """
         for name, (request, _) in list(self.booting.items()):
-            if name not in names and wall_us - request.requested_at_us > LIST_LAGS * lag_us:
-                self.came_up.add(name)
+            if name not in names and wall_us - request.requested_at_us > MIN_LIST_LAGS_UNTIL_GONE * lag_us:
+                self.no_longer_booting.add(name)
                 del self.booting[name]
 
     def boot_timeout_us(self, machine_type: str) -> float:
-        """Return how long a machine of a type may boot before it is given up, microseconds."""
-        known = self.machine_types.get(machine_type)
-        boot_us = DEFAULT_BOOT_US if known is None else known.boot_us
+        """Return the time in microseconds after which a booting machine of a type is given up."""
+        offered_type = self.machine_types.get(machine_type)
+        boot_us = DEFAULT_BOOT_US if offered_type is None else offered_type.boot_us
         return boot_us * self.config.boot_factor + self.config.boot_margin_us
 
     def plan_scale_out(
         self, unplaced: list[UnplacedWork], now_us: int, wall_us: int
     ) -> list[InstanceRequest]:
-        """Return what to rent for tasks that find no room, beyond what is booting already."""
+        """Return the instances to rent for unplaced tasks, beyond the machines that are already booting."""
         plan = ScaleOutPlan(
             self.replica, self.machine_types, self.config, self._selector(), self._upcoming_machines()
         )
@@ -132,7 +131,7 @@
         )
 
     def _upcoming_machines(self) -> list[UpcomingMachine]:
-        """Return the machines that boot, and those that are requested without an answer yet."""
+        """Return the booting machines and those of requests that are not answered yet."""
         requests = [booting.request for booting in self.booting.values()]
         for request in self.replica.instance_requests.values():
             if request.machines is None:
@@ -146,10 +145,10 @@
     def plan_consolidation(
         self, machines: list[SnapshotMachine], now_us: int, wall_us: int
     ) -> dict[str, DrainRecord]:
-        """Return the drains of expensive machines with little on them, if all of that fits elsewhere.
+        """Return the drains of expensive, little used machines whose tasks all fit elsewhere.
 
-        Their tasks save and go to other busy or to cheaper machines, and they are returned. Few go at a time,
-        so that what moves can settle.
+        The tasks save and move to other busy machines or to cheaper ones, and the drained machines are
+        returned. Only a few machines are drained at a time, so that the moved tasks can settle.
         """
         interval_us = self.config.consolidation_interval_us
         if not interval_us or now_us < self.next_consolidation_at_us:
@@ -161,28 +160,30 @@
     def plan_scale_in(
         self, unplaced: list[UnplacedWork], now_us: int, wall_us: int
     ) -> dict[str, DrainRecord]:
-        """Return the drains of machines that idle for long, or never come up.
+        """Return the drains of machines that have been idle too long or have not come up in time.
 
-        A machine that is of use to what waits is kept. Seen (relevamiento-forestal): something always waited,
-        and idle machines that it could not use were kept to the day's end.
+        An idle machine is kept if a waiting job can use it. Seen (relevamiento-forestal): some job always
+        waited, and idle machines that it could not use were kept until the end of the day.
         """
         drains: dict[str, DrainRecord] = {}
         waiting = {resource_shape(work.job.spec): work.job.spec for work in unplaced}
         for name, since_us in self.idle_since.items():
             if now_us - since_us <= self.config.idle_us or name in self.replica.drains:
                 continue
-            # Seen: the leader waits for answers between ``observe`` and this; a machine's record went
-            # meanwhile, and every look at the fleet ended with a KeyError.
-            known = self.replica.machines.get(name)
-            if known is not None and not any(self._is_useful(known[1], spec) for spec in waiting.values()):
+            # Between ``observe`` and this call the leader waits for answers. Seen: a machine's record was
+            # deleted in the meantime, and every pass of the autoscaler failed with a KeyError.
+            registered = self.replica.machines.get(name)
+            if registered is not None and not any(
+                self._is_usable_by(registered[1], spec) for spec in waiting.values()
+            ):
                 drains[name] = DrainRecord("idle", wall_us)
         for name, (request, since_us) in self.booting.items():
             if now_us - since_us > self.boot_timeout_us(request.type):
                 drains[name] = DrainRecord("never came up", wall_us)
         return drains
 
-    def _is_useful(self, record: MachineRecord, spec: JobSpec) -> bool:
-        """Tell whether an empty machine is of use to the job."""
+    def _is_usable_by(self, record: MachineRecord, spec: JobSpec) -> bool:
+        """Tell whether the job can use an empty machine at an acceptable price."""
         machine_type = self.machine_types.get(record.type)
         if machine_type is None or not fits_machine_type(spec, machine_type):
             return False
@@ -190,4 +191,4 @@
             return False
         selector = self._selector()
         max_price = selector.max_price(spec, record.spot)
-        return selector.is_worth(spec, machine_type, record.spot, max_price)
+        return selector.is_acceptable(spec, machine_type, record.spot, max_price)
--- a/pearstep/leader/autoscaler_config.py
+++ b/pearstep/leader/autoscaler_config.py
@@ -10,23 +10,24 @@
 
 @dataclass
 class AutoscalerConfig:
-    """The operators' tuning of the fleet.
+    """The operators' tuning of the autoscaler.
 
     Attributes:
-        idle_us: How long a machine may idle before it is returned.
-        max_per_request: Machines of one request.
-        max_machines: Machines of the fleet.
-        refusal_backoff_us: How long nothing is requested of what the cloud had none of.
-        boot_factor: A boot is given up after this multiple of the type's boot time, plus the margin.
-        boot_margin_us: The margin.
-        patience: Work waits for running tasks to end for this multiple of a boot; 0: not at all.
-        overrun_share: The share of its time that a task past its estimate is taken to run on.
-        urgent_classes: Job classes that wait for no longer than half of their first objective.
-        start_objectives: Within which times classes are to start.
-        consolidation_interval_us: The time between two consolidations; 0: none.
-        consolidation_min_run_us: A task is moved only after it has run for longer.
-        consolidation_min_left_us: A machine is emptied only if one of its tasks has so long left.
-        max_price_ratio: The most that a place may cost against the cheapest one; 0: anything.
+        idle_us: The time that a machine may be idle before it is returned.
+        max_per_request: The maximum number of machines in one request.
+        max_machines: The maximum number of machines in the fleet.
+        refusal_backoff_us: The time for which an instance kind is not requested after the cloud had none.
+        boot_factor: A boot is given up after this multiple of the type's boot time, plus ``boot_margin_us``.
+        boot_margin_us: The time added to that multiple.
+        boot_wait_factor: Jobs wait for running tasks to end for up to this multiple of their wait time, by
+            default the longest boot time, before machines are rented; 0: they do not wait.
+        overrun_share: The share of its elapsed time that a task past its estimate is expected to run on.
+        urgent_classes: The job classes that wait for at most half of their first objective.
+        start_objectives: The start objectives by job class.
+        consolidation_interval_us: The time between two consolidations; 0: no consolidation.
+        consolidation_min_run_us: A task is moved only if it has run for longer than this.
+        consolidation_min_left_us: A machine is drained only if one of its tasks has at least this time left.
+        max_price_ratio: The maximum price per task as a multiple of the cheapest one; 0: no limit.
     """
 
     idle_us: int
@@ -35,7 +36,7 @@
     refusal_backoff_us: int
     boot_factor: float
     boot_margin_us: int
-    patience: float = 1.0
+    boot_wait_factor: float = 1.0
     overrun_share: float = 0.25
     urgent_classes: frozenset[str] = frozenset()
     start_objectives: StartObjectives = field(default_factory=dict)
--- a/pearstep/leader/instance_selection.py
+++ b/pearstep/leader/instance_selection.py
@@ -1,4 +1,4 @@
-"""Which kind of instance to rent for a job: what it may use, at the least price per task."""
+"""Selection of the instance kind to rent for a job: the allowed kind with the lowest price per task."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class InstanceKind(NamedTuple):
-    """What the cloud rents out: machines of a type in a zone, spot or not."""
+    """A kind of instance that the cloud offers: a machine type in a zone, spot or on-demand."""
 
     machine_type: str
     zone: str
@@ -22,18 +22,18 @@
 
 
 def hourly_price(machine_type: MachineType, spot: bool) -> float:
-    """Return what a machine costs an hour."""
+    """Return the price of a machine per hour."""
     return machine_type.spot_price if spot else machine_type.price
 
 
 def price_per_task(spec: JobSpec, machine_type: MachineType, spot: bool) -> float:
-    """Return what a place for the job costs an hour on a full machine of this kind."""
-    places = total_resources(machine_type).count_fitting(spec, COUNT_LIMIT)
-    return hourly_price(machine_type, spot) / places
+    """Return the price per hour of one task of the job on a fully used machine of this kind."""
+    tasks_per_machine = total_resources(machine_type).count_fitting(spec, COUNT_LIMIT)
+    return hourly_price(machine_type, spot) / tasks_per_machine
 
 
 class InstanceSelector:
-    """Chooses instances by price, among those that the cloud has not refused."""
+    """Chooses instance kinds by price among those that the cloud has not refused."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         refused_until_us: Mapping[InstanceKind, int],
         max_price_ratio: float,
     ) -> None:
-        """Choose among the machine types on offer, in zones of ours."""
+        """Create a selector for the available machine types in the cluster's zones."""
         self.machine_types = machine_types
         self.zones = zones
         self.reservations = reservations
@@ -58,18 +58,19 @@
         requested: Mapping[InstanceKind, int],
         preferred_zone: str | None,
     ) -> InstanceKind | None:
-        """Return the kind with the least price per task that it would hold.
+        """Return the instance kind with the lowest price per task that it would hold.
 
-        Of zones that cost the same it is the one in which the least is to be rented, or the one where the
-        job's other tasks will be. Seen: a fleet's worth was asked of one zone, what it lacked of the next a
-        second later, and the last zone's machines came four seconds late to gangs that had 50.
+        Among zones with the same price, the zone of the job's other tasks is preferred, then the one with the
+        fewest requested machines. Seen: all machines for a fleet were requested in one zone, the missing ones
+        in the next zone a second later, and the last zone's machines came four seconds late for gangs that
+        had 50 seconds.
 
         Args:
             spec: The job.
-            count: How many of its tasks are to be held.
-            now_us: The monotonic clock.
-            requested: What is to be rented already.
-            preferred_zone: Where the job's other tasks will be.
+            count: The number of its tasks that need a machine.
+            now_us: The current time of the monotonic clock.
+            requested: The number of machines that this plan already requests, by kind.
+            preferred_zone: The zone of the job's other tasks, if it is decided.
         """
         best: InstanceKind | None = None
         best_cost = (0.0, 0)
@@ -77,36 +78,37 @@
         for machine_type in self.machine_types.values():
             if not fits_machine_type(spec, machine_type):
                 continue
-            held = total_resources(machine_type).count_fitting(spec, count)
-            for kind in self._kinds(spec, machine_type, max_prices):
+            tasks_held = total_resources(machine_type).count_fitting(spec, count)
+            for kind in self._allowed_kinds(spec, machine_type, max_prices):
                 if self.refused_until_us.get(kind, 0) > now_us:
                     continue
                 zone_order = -1 if kind.zone == preferred_zone else requested.get(kind, 0)
-                cost = (hourly_price(machine_type, kind.spot) / held, zone_order)
+                cost = (hourly_price(machine_type, kind.spot) / tasks_held, zone_order)
                 if best is None or cost < best_cost:
                     best, best_cost = kind, cost
         return best
 
-    def _kinds(
+    def _allowed_kinds(
         self, spec: JobSpec, machine_type: MachineType, max_prices: dict[bool, float]
     ) -> Iterator[InstanceKind]:
-        """Yield the kinds of a machine type that the job may use, by zone, spot instances first."""
-        markets = [
+        """Yield the instance kinds of a machine type that the job may use, by zone, spot instances first."""
+        spot_options = [
             spot
             for spot in (True, False)
-            if (spec.spot or not spot) and self.is_worth(spec, machine_type, spot, max_prices[spot])
+            if (spec.spot or not spot) and self.is_acceptable(spec, machine_type, spot, max_prices[spot])
         ]
         for zone in machine_type.zones:
             if zone in self.zones and (spec.zone is None or zone == spec.zone):
-                for spot in markets:
+                for spot in spot_options:
                     yield InstanceKind(machine_type.name, zone, spot)
 
     def max_price(self, spec: JobSpec, spot: bool) -> float:
-        """Return the most that a place for the job may cost an hour.
+        """Return the maximum price per hour of one task of the job.
 
-        It is a multiple of the cheapest place of the same market, whether that can be had now or not. Seen
-        (relevamiento-forestal): with the cheap machines rented out, others at eighteen times their price a
-        place were rented for work that could wait, and the day's money was twice what the work was worth.
+        It is a multiple of the cheapest price per task in the same market, whether or not that kind is
+        available now. Seen (relevamiento-forestal): when the cheap machines were rented out, machines at
+        eighteen times their price per task were rented for jobs that could wait, and the cost of the day was
+        twice what the work was worth.
         """
         if not self.max_price_ratio:
             return float("inf")
@@ -116,8 +118,8 @@
             if fits_machine_type(spec, machine_type)
         )
 
-    def is_worth(self, spec: JobSpec, machine_type: MachineType, spot: bool, max_price: float) -> bool:
-        """Tell whether such a machine is for the job at all, and at its price for a place and hour."""
+    def is_acceptable(self, spec: JobSpec, machine_type: MachineType, spot: bool, max_price: float) -> bool:
+        """Tell whether the job may use machines of this kind and their price per task is acceptable."""
         return (
             not self.reservations.is_reserved_from(spec, machine_type.name, spot)
             and price_per_task(spec, machine_type, spot) <= max_price
