--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -21,7 +21,7 @@
 from pearstep.shard.commands import Command, CommandAction
 from pearstep.state.records import JobRecord, Placement, PlacementRecord, RouteRecord
 from pearstep.transport.clock import now_us
-from tests.test_leader import Office
+from tests.test_leader import LeaderHarness
 from tests.test_users import JOB, scenario
 from tests.world import World, spec
 
@@ -150,8 +150,8 @@
 
 def ahead():
     """A leader that heard of a cancellation before the placement that was committed just before it."""
-    o = Office(1, [Team("t", cpus_max=20.0)])
-    o.machine("m0", 0)
+    o = LeaderHarness(1, [Team("t", cpus_max=20.0)])
+    o.add_machine("m0", 0)
     o.submit(spec("req-1", tasks=1, cpus=20.0))
     o.put("r/0/req-1", RouteRecord("0"))
     o.submit(spec("req-2", tasks=1, cpus=20.0), at=1)
@@ -166,13 +166,13 @@
     # The hazard itself: what is planned from such a view is over the limit.
     o = ahead()
     assert not o.replica.knows_all_before_last_end
-    assert [plan.job.spec.job_id for plan in o.leader.plan(o.now, 0, o.now)] == ["req-2"]
+    assert [plan.job.spec.job_id for plan in o.planner.plan(o.now, 0, o.now)] == ["req-2"]
 
 
 def test_leader_reads_what_it_lacks_before_it_plans():
     o = ahead()
     o.ledger.feed(o.replica, o.now)
-    assert o.replica.knows_all_before_last_end and not o.leader.plan(o.now, 0, o.now)
+    assert o.replica.knows_all_before_last_end and not o.planner.plan(o.now, 0, o.now)
 
 
 @pytest.mark.parametrize("served", [True, False])
--- a/tests/test_faulty.py
+++ b/tests/test_faulty.py
@@ -8,7 +8,7 @@
 from pearstep.scheduling.fault_attribution import MAX_BACKOFF_S, FaultAttribution
 from pearstep.shard.commands import ShardActions
 from pearstep.state.records import TASKS_PER_RECORD
-from tests.test_leader import Office
+from tests.test_leader import LeaderHarness
 from tests.world import World, spec
 
 
@@ -71,49 +71,49 @@
 
 
 def test_nothing_is_rented_and_no_gang_gathered_at_once_for_a_job_that_only_failed():
-    o = Office()
+    o = LeaderHarness()
     job = spec(tasks=4, kind="gang")
     o.submit(job)
-    o.route()
-    assert o.fleet.plan_scale_out(o.leader.unplaced + o.leader.unroutable, o.now, o.now)
-    o.place(0, "req-1", [])
+    o.plan_routes()
+    assert o.autoscaler.plan_scale_out(o.planner.unplaced + o.planner.unroutable, o.now, o.now)
+    o.record_placements(0, "req-1", [])
     placed = o.replica.jobs["req-1"].placements[0, 0]
     o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=4))
     for _ in range(3):
-        o.route()
-        assert not o.leader.unplaced + o.leader.unroutable
+        o.plan_routes()
+        assert not o.planner.unplaced + o.planner.unroutable
     o.now += MAX_BACKOFF_S * SECOND_US
-    assert [j.spec.job_id for j in o.leader.ordered_jobs(o.now, o.now)] == ["req-1"]
+    assert [j.spec.job_id for j in o.planner.ordered_jobs(o.now, o.now)] == ["req-1"]
     o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=0, done="1"))
-    assert not o.leader._is_backing_off(o.replica.jobs["req-1"], o.now)
+    assert not o.planner._is_backing_off(o.replica.jobs["req-1"], o.now)
 
 
 def test_routes_of_a_vast_array_stay_short_while_its_tasks_end_in_any_order():
-    o = Office(shard_count=3)
+    o = LeaderHarness(shard_count=3)
     for n in range(30):
-        o.machine(f"m{n}", n % 3)
+        o.add_machine(f"m{n}", n % 3)
     o.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
     done = 0
     for turn in range(12):
-        o.route()
+        o.plan_routes()
         for part, route in o.replica.jobs["req-1"].routes.items():
             assert len(msgspec.json.encode(route.record)) < 4096
             done = route.tasks & int("5" * 6250 if turn % 2 else "3" * 6250, 16)
-            o.place(part, "req-1", [], done=done & ((1 << TASKS_PER_RECORD) - 1))
+            o.record_placements(part, "req-1", [], done=done & ((1 << TASKS_PER_RECORD) - 1))
     assert o.replica.jobs["req-1"].done_tasks.bit_count() > 1000
 
 
 def test_on_an_idle_fleet_only_so_many_tasks_of_a_job_wait_in_a_part():
-    o = Office(shard_count=3)
+    o = LeaderHarness(shard_count=3)
     for n in range(30):
-        o.machine(f"m{n}", n % 3, mtype="big")
+        o.add_machine(f"m{n}", n % 3, mtype="big")
     o.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
     for _ in range(3):
         o.now += 10 * SECOND_US
-        o.route()
+        o.plan_routes()
     routes = o.replica.jobs["req-1"].routes.values()
     assert sum(r.tasks.bit_count() for r in routes) > 512 and max(r.tasks.bit_count() for r in routes) <= 512
-    assert not o.leader.unroutable  # nothing is rented for what waits its turn
+    assert not o.planner.unroutable  # nothing is rented for what waits its turn
 
 
 def test_record_of_many_running_tasks_stays_within_a_value():
--- a/tests/test_guarantee.py
+++ b/tests/test_guarantee.py
@@ -9,14 +9,14 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.state.quota_guarantee import QuotaGuarantees, jobs_within_guarantee
 from pearstep.state.records import JobRecord
-from tests.test_leader import Office
+from tests.test_leader import LeaderHarness
 from tests.world import spec
 
 TEAMS = {"a": Team("a", cpus=100.0), "b": Team("b", gpus=4.0), "c": Team("c")}
 
 
 def office(*jobs):
-    o = Office()
+    o = LeaderHarness()
     o.replica.quota_guarantees = QuotaGuarantees(TEAMS, 30 * SECOND_US)
     for n, job in enumerate(jobs):
         o.submit(job, at=n)
@@ -86,15 +86,15 @@
     # Seen: 270 places came free, 1,600 tasks of one team were before nine others, each within its own
     # guarantee, and all 270 went to that team.
     teams = {f"t{n}": Team(f"t{n}", cpus=100.0) for n in range(10)}
-    o = Office()
+    o = LeaderHarness()
     o.replica.quota_guarantees = QuotaGuarantees(teams, 30 * SECOND_US)
     o.submit(spec("req-0", team="t0", tasks=1600), at=0)
     for n in range(1, 10):
         o.submit(spec(f"req-{n}", team=f"t{n}", tasks=10), at=n)
-    assert not o.route()
+    assert not o.plan_routes()
     for n in range(90):
-        o.machine(f"m{n}", n % 2)
-    routes = o.route()
+        o.add_machine(f"m{n}", n % 2)
+    routes = o.plan_routes()
     for n in range(1, 10):
         assert sum(m.bit_count() for (ref, _), m in routes.items() if ref == f"req-{n}") == 10
     flood = sum(m.bit_count() for (ref, _), m in routes.items() if ref == "req-0")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from pearstep.transport.http import BACKLOG
 from pearstep.transport.kv_client import CommitOutcome
 from pearstep.transport.rate_limiter import RateLimiter
-from tests.test_leader import Office
+from tests.test_leader import LeaderHarness
 from tests.world import BIG, SMALL, TYPES, World, machine_rec, spec
 
 # The largest fleet that the users run.
@@ -117,13 +117,13 @@
 
 
 def test_only_machines_whose_records_changed_are_counted_again():
-    o = Office(shard_count=2)
+    o = LeaderHarness(shard_count=2)
     for n in range(50):
-        o.machine(f"m{n}", n % 2)
+        o.add_machine(f"m{n}", n % 2)
     book = AllocationLedger(o.replica, TYPES)
     assert len(book.snapshot_machines()) == 50 and book.machines_recounted == 50
     o.submit(spec("req-1", tasks=1))
-    o.place(0, "req-1", [0], "m4")
+    o.record_placements(0, "req-1", [0], "m4")
     slots = {s.name: s for s in book.snapshot_machines()}
     assert book.machines_recounted == 51
     assert slots["m4"].free.cpus == 22.0 and slots["m5"].free.cpus == 32.0
@@ -144,9 +144,9 @@
         return out
 
     monkeypatch.setattr(CapacityIndex, "by_group", counted)
-    o = Office(shard_count=2)
+    o = LeaderHarness(shard_count=2)
     for n in range(40):
-        o.machine(f"m{n}", n % 2)
+        o.add_machine(f"m{n}", n % 2)
     o.submit(spec("req-0", tasks=40, cpus=32.0))
     o.put("p/0/req-0/0", PlacementRecord({n: Placement(f"m{n}", 1, 1, 1) for n in range(40)}, "0", 1))
     for n in range(100):
@@ -158,14 +158,14 @@
 
 def test_gang_that_finds_room_only_over_several_parts_is_spread_at_once():
     # Seen: with a third of the fleet to each part, gangs of 16 waited while twice their room was free.
-    o = Office(shard_count=2)
+    o = LeaderHarness(shard_count=2)
     for n in range(6):
-        o.machine(f"m{n}", n % 2)
+        o.add_machine(f"m{n}", n % 2)
     o.submit(spec("req-0", tasks=2, cpus=30.0, estimate_us=500 * SECOND_US))
     o.put("p/0/req-0/0", PlacementRecord({0: Placement("m0", 1, 1, o.now)}, "0", 1))
     o.put("p/1/req-0/0", PlacementRecord({1: Placement("m1", 1, 1, o.now)}, "0", 1))
     o.submit(spec("req-1", kind="gang", tasks=3, cpus=30.0, one_zone=True), at=1)
-    o.route()
+    o.plan_routes()
     routes = o.replica.jobs["req-1"].routes
     assert sorted(r.tasks.bit_count() for r in routes.values()) == [1, 2]
     assert all(r.record.machines and r.record.start_at_us == o.now for r in routes.values())
@@ -173,7 +173,7 @@
 
 def fleet_office(machines=FLEET, parts=3):
     """An office whose machines are recorded in one go."""
-    o = Office(shard_count=parts)
+    o = LeaderHarness(shard_count=parts)
     o.ledger.txn({}, {f"m/{n % parts}/m{n}": machine_rec() for n in range(machines)})
     o.ledger.feed(o.replica, o.now)
     return o
@@ -186,9 +186,9 @@
     o = fleet_office(machines)
     # Three fit on each machine: the bound of a part, not its room, ends it.
     o.submit(spec("req-1", tasks=4 * FLEET))
-    routes = o.route()
+    routes = o.plan_routes()
     assert [abs(mask.bit_count() - most) <= 2 for mask in routes.values()] == [True] * 3
-    assert not o.leader.unroutable
+    assert not o.planner.unroutable
     assert max(len(raw) for key, (raw, _) in o.ledger.keys.items() if key.startswith("r/")) < 2048
 
 
@@ -210,11 +210,11 @@
     o.put("p/0/req-0/0", PlacementRecord(places, "0", 1))
     for n in range(100):
         o.submit(spec(f"req-1{n}", kind="gang", tasks=2, cpus=15.0), at=1)
-    assert len(o.leader.plan(o.now, 0, o.now)) == 100
-    assert o.leader.ledger.machines_recounted == FLEET and looks <= 3 * FLEET
+    assert len(o.planner.plan(o.now, 0, o.now)) == 100
+    assert o.planner.ledger.machines_recounted == FLEET and looks <= 3 * FLEET
     looks = 0
-    o.leader.plan(o.now, 0, o.now)
-    assert o.leader.ledger.machines_recounted == FLEET  # nothing has changed: none is counted again
+    o.planner.plan(o.now, 0, o.now)
+    assert o.planner.ledger.machines_recounted == FLEET  # nothing has changed: none is counted again
 
 
 def autoscaler_loop_of(o, cloud=None, rps=4.0, txn_ops=12):
@@ -240,19 +240,19 @@
 
     transactions = LeaderTransactions.__new__(LeaderTransactions)
     transactions.commit = commit
-    loop = AutoscalerLoop(context, transactions, o.leader, o.fleet)
+    loop = AutoscalerLoop(context, transactions, o.planner, o.autoscaler)
     loop.written = written
     return loop
 
 
 def test_returns_of_4000_machines_page_on_through_drains_and_name_each_once():
     o = fleet_office()
-    o.fleet.observe(o.now, o.now)
+    o.autoscaler.observe(o.now, o.now)
     o.now += 90 * SECOND_US
     loop = autoscaler_loop_of(o)
 
     async def looks():
-        while drains := o.fleet.plan_scale_in([], o.now, o.now):
+        while drains := o.autoscaler.plan_scale_in([], o.now, o.now):
             await loop.drain(drains)
 
     asyncio.run(looks())
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize(("machines", "pages", "interval_s", "drained"), [(649, 2, 8, 12), (4000, 8, 16, 24)])
 def test_the_machine_list_comes_more_rarely_the_longer_it_is(machines, pages, interval_s, drained):
     client = ListingCloud(machines)
-    o = Office(shard_count=3)
+    o = LeaderHarness(shard_count=3)
     o.put("h/r-1-1", InstanceRequestRecord("small", "a", False, 50, o.now, []))
     loop = autoscaler_loop_of(o, CloudClient(client, "cloud:1", RateLimiter(1e6, 1e6, lambda: o.now)))
     asyncio.run(loop.reconcile_machine_list())
--- a/tests/test_scarce.py
+++ b/tests/test_scarce.py
@@ -15,7 +15,7 @@
     WholeMachineReservations,
 )
 from pearstep.state.records import InstanceRequestRecord
-from tests.test_leader import Office
+from tests.test_leader import LeaderHarness
 from tests.world import SMALL, TYPES, World, spec
 
 WHOLE = spec("req-1", kind="gang", tasks=1, cpus=90.0, gpus=8.0, memory_gb=300.0)
@@ -106,13 +106,13 @@
 
 
 def test_leader_routes_small_work_past_kept_machines_and_gangs_onto_them():
-    o = Office()
-    o.machine("m0", 0, mtype="big")
-    o.machine("m1", 1)
+    o = LeaderHarness()
+    o.add_machine("m0", 0, mtype="big")
+    o.add_machine("m1", 1)
     regular(o.replica)
     o.submit(WHOLE)
     o.submit(spec("req-2", tasks=9, cpus=4.0, memory_gb=20.0, priority=0, kind="service"), at=1)
-    routes = o.route()
+    routes = o.plan_routes()
     # 32 CPUs, 128 GB on m1: 6 places; one more beside the gang.
     assert routes["req-1", 0] == 1
     assert routes["req-2", 1].bit_count() >= 6 and routes.get(("req-2", 0), 0).bit_count() <= 1 + 12
@@ -131,51 +131,51 @@
 
 def short_of(tasks):
     """An office without machines where a whole job waits, and a small one of so many tasks; its work."""
-    o = Office()
+    o = LeaderHarness()
     regular(o.replica)
     o.submit(WHOLE)
     o.submit(spec("req-2", tasks=tasks, cpus=4.0, memory_gb=20.0), at=1)
-    o.route()
-    return o, o.leader.unplaced + o.leader.unroutable
+    o.plan_routes()
+    return o, o.planner.unplaced + o.planner.unroutable
 
 
 def test_kept_machines_are_not_rented_for_small_work_and_frees_count_for_their_own():
     o, unplaced = short_of(9)
     for zone in ZONES:
-        o.fleet.record_refusal(InstanceKind("small", zone, False), o.now)
-    assert {w.type for w in o.fleet.plan_scale_out(unplaced, o.now, o.now)} == {"big"}
-    assert sum(w.count for w in o.fleet.plan_scale_out(unplaced, o.now, o.now)) == 1
+        o.autoscaler.record_refusal(InstanceKind("small", zone, False), o.now)
+    assert {w.type for w in o.autoscaler.plan_scale_out(unplaced, o.now, o.now)} == {"big"}
+    assert sum(w.count for w in o.autoscaler.plan_scale_out(unplaced, o.now, o.now)) == 1
 
 
 def test_a_place_is_not_rented_at_many_times_the_price_of_the_cheapest_even_if_that_is_rented_out():
-    o = Office()
+    o = LeaderHarness()
     o.submit(spec("req-1", tasks=1, cpus=8.0, memory_gb=30.0))
-    o.route()
-    unplaced = o.leader.unroutable
+    o.plan_routes()
+    unplaced = o.planner.unroutable
     for zone in ZONES:
-        o.fleet.record_refusal(InstanceKind("small", zone, False), o.now)
+        o.autoscaler.record_refusal(InstanceKind("small", zone, False), o.now)
     # 0.5 a place on small machines, 2.4 on big ones.
-    o.fleet.config.max_price_ratio = 4.0
-    assert o.fleet.plan_scale_out(unplaced, o.now, o.now) == []
-    o.fleet.config.max_price_ratio = 5.0
-    (request,) = o.fleet.plan_scale_out(unplaced, o.now, o.now)
+    o.autoscaler.config.max_price_ratio = 4.0
+    assert o.autoscaler.plan_scale_out(unplaced, o.now, o.now) == []
+    o.autoscaler.config.max_price_ratio = 5.0
+    (request,) = o.autoscaler.plan_scale_out(unplaced, o.now, o.now)
     assert request.type == "big"
 
 
 def test_idle_machine_goes_though_others_wait_if_it_is_of_no_use_to_them():
-    o = Office()
-    o.machine("m0", 0)
-    o.machine("m1", 0, mtype="big")
-    o.fleet.observe(o.now, o.now)
+    o = LeaderHarness()
+    o.add_machine("m0", 0)
+    o.add_machine("m1", 0, mtype="big")
+    o.autoscaler.observe(o.now, o.now)
     o.now += 90 * SECOND_US
-    o.fleet.observe(o.now, o.now)
+    o.autoscaler.observe(o.now, o.now)
     regular(o.replica)
     o.submit(WHOLE)
     unplaced = [UnplacedWork(o.replica.jobs["req-1"], 1)]
-    assert set(o.fleet.plan_scale_in(unplaced, o.now, o.now)) == {"m0"}
+    assert set(o.autoscaler.plan_scale_in(unplaced, o.now, o.now)) == {"m0"}
     o.submit(spec("req-2", tasks=1))
     unplaced.append(UnplacedWork(o.replica.jobs["req-2"], 1))
-    assert o.fleet.plan_scale_in(unplaced, o.now, o.now) == {}
+    assert o.autoscaler.plan_scale_in(unplaced, o.now, o.now) == {}
 
 
 def test_types_that_become_known_later_count():
@@ -194,5 +194,5 @@
 def test_a_rental_under_way_counts_whole_for_whom_it_is_kept():
     o, unplaced = short_of(2)
     o.put("h/r-1-1", InstanceRequestRecord("big", "a", False, 1, o.now))
-    requests = o.fleet.plan_scale_out(unplaced, o.now, o.now)
+    requests = o.autoscaler.plan_scale_out(unplaced, o.now, o.now)
     assert {w.type for w in requests} == {"small"}
