--- a/pearstep/state/records.py
+++ b/pearstep/state/records.py
@@ -1,14 +1,14 @@
-"""What is stored in the key-value store, and under which keys.
+"""The records in the key-value store and their keys.
 
 The part of a key before the first ``/`` is the kind of record; ``RECORD_TYPES`` lists the kinds of the core.
-Programs beyond the core keep kinds of their own: ``hr/<bucket>``, ``zb/`` (finished jobs that have left
-their records, see ``history``) and ``compactor``, whoever moves them; ``l/``, ``g/`` and ``peer/``
-(``federation``).
-Blocks of the history sort last: a node that starts reads everything before them.
+Programs beyond the core have their own kinds. ``history`` writes ``hr/<bucket>`` and ``zb/`` for finished
+jobs that have left their records, and ``compactor`` for the process that moves them. ``federation`` writes
+``l/``, ``g/`` and ``peer/``.
+The keys of history blocks sort last: a starting node reads all keys before them.
 
-Whatever a lease holder writes is also conditional on its lease's key, whose version is its fencing token, and
+Every write of a lease holder is also conditional on its lease's key, whose version is its fencing token, and
 on its write fence. The docstrings of the records name the preconditions beside these two. A key's version is
-the revision of its last change; a precondition of 0 says that the key must be absent.
+the revision of its last change; a precondition of 0 requires that the key is absent.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 LEADER_LEASE_KIND = "leader"
 SHARD_LAYOUT_KIND = "layout"
 WRITE_FENCE_KIND = "e"
-# Kinds of which there is one record have no further part in their key.
+# A kind with a single record is also its key.
 LEADER_LEASE_KEY = LEADER_LEASE_KIND
 SHARD_LAYOUT_KEY = SHARD_LAYOUT_KIND
 
@@ -40,11 +40,11 @@
 # Kinds that ``federation`` writes.
 OFFLOAD_PREFIXES = ("l/", "g/")
 
-# How many tasks of a job one placement record covers at most.
+# The maximum number of tasks of a job in one placement record.
 TASKS_PER_RECORD = 16_384
-# ``LeaseHolderRecord.node_version``: what a node understands. 1: layouts of shards within zones.
+# ``LeaseHolderRecord.node_version``: the features that a node supports. 1: shard layouts within zones.
 NODE_VERSION = 1
-# 2: finished jobs that have left their records, in a node that reads them.
+# 2: also the history of finished jobs that have left their records.
 HISTORY_VERSION = 2
 
 
@@ -61,21 +61,21 @@
 ):
     """An accepted job. Key: ``job_key``.
 
-    Writers: any controller that accepts the job (the key must be absent, and the history roots where the id
-    was not found unchanged) or cancels it (its version); the shard's owner when it is done (its version).
-    Times are wall times.
+    Writers: any controller that accepts the job (the key must be absent, and the history roots in which the
+    id was not found must be unchanged) or cancels it (its version); the shard's owner when the job is done
+    (its version). Times are wall times.
 
     Attributes:
         spec: the job as submitted.
-        submitted_at_us: when it was accepted.
+        submitted_at_us: when the job was accepted.
         state: see ``JobState``.
-        ended_at_us: when it was done or cancelled; 0: not yet.
-        shard_id: the shard that it is routed to from the beginning, as long as no route says otherwise; such
-            a job needs no change for its route.
-        excluded_tasks: tasks that are not this cluster's to run, as ranges: of a job that a peer has lent in
-            part.
-        run_until_us: from then on nothing of the job may run here; 0: no limit. Owners stop it by their own
-            clocks, also while nothing can be written.
+        ended_at_us: when the job was done or cancelled; 0: not yet.
+        shard_id: the shard that the job is routed to at submission; it applies until a route record of the
+            shard replaces it, and saves writing a route record.
+        excluded_tasks: tasks that this cluster does not run, as ranges; set if a peer has lent only part of
+            the job.
+        run_until_us: the time from which on no task of the job may run here; 0: no limit. Shard owners stop
+            the job by their own clocks, also while they cannot write.
     """
 
     spec: JobSpec
@@ -94,16 +94,16 @@
 ):
     """The tasks of a job that a shard may place, freely or bound to a zone. Key: ``route_key``.
 
-    Writer: the leader. Preconditions: the route's version; where tasks move, also the versions of their
-    placement records. A job that was accepted for a shard is routed there as if by a route of version 0.
+    Writer: the leader. Preconditions: the route's version; if tasks move, also the versions of their
+    placement records. A job with a ``shard_id`` is routed there as if by a route of version 0.
 
     Attributes:
-        tasks: tasks that are bound to no zone, as ranges.
+        tasks: tasks that are not bound to a zone, as ranges.
         zone_tasks: tasks that are bound to a zone, as ranges, by zone.
         attempt: for a gang that spans shards: the number of the attempt that all shards start.
         machines: for such a gang: the machine that the leader chose for each task.
-        start_at_us: for such a gang: the wall time from which the owners keep those machines' resources for
-            it, as for a pivot of their own.
+        start_at_us: for such a gang: the wall time from which on the shard owners reserve the resources of
+            those machines for it, as they do for a pivot of their own.
     """
 
     tasks: str = ""
@@ -114,7 +114,7 @@
 
 
 class Placement(msgspec.Struct, array_like=True):
-    """Where a task is.
+    """The placement of a task on a machine.
 
     Attributes:
         machine: the name of the machine.
@@ -137,14 +137,14 @@
     """Placements of up to ``TASKS_PER_RECORD`` tasks of a job in one shard. Key: ``placement_key``.
 
     Writer: the shard's owner. Preconditions: the record's version; for new placements also the versions of
-    the job and the route, and that no machine of theirs has a drain record.
+    the job and the route, and the absence of drain records of their machines.
 
     Attributes:
         placements: the placement of each task that has one, by the task's number within the job.
         done: the tasks that are done, as a hexadecimal bit mask; bit 0 is the first task of the chunk.
-        last_attempt: the highest number of an attempt so far.
-        consecutive_failures: how often tasks have failed since one last completed: a new owner and the leader
-            recognize a faulty job by it.
+        last_attempt: the highest attempt number so far.
+        consecutive_failures: the number of task failures since a task last completed; a new owner and the
+            leader detect a faulty job by it.
     """
 
     placements: dict[int, Placement] = {}
@@ -160,11 +160,11 @@
 
     Attributes:
         type: the machine type.
-        zone: where it is.
-        spot: whether it is a spot instance.
-        address: host and port of its agent.
-        images: the images that it holds, in GB by name: they decide where a task starts soon, and a new owner
-            could not learn them from heartbeats.
+        zone: the zone of the machine.
+        spot: whether the machine is a spot instance.
+        address: host and port of the machine's agent.
+        images: the sizes in GB of the images on the machine, by name. A task starts sooner where its image is
+            present, and a new owner cannot learn the images from heartbeats.
     """
 
     type: str
@@ -178,24 +178,24 @@
     """Why a machine is drained. The values are stored, and shown in logs."""
 
     IDLE = "idle"  # nothing has run on it for long enough
-    CONSOLIDATION = "moving"  # its tasks can go on at lower cost on other machines
-    NEVER_BOOTED = "never came up"  # no agent has sent a heartbeat in time
+    CONSOLIDATION = "moving"  # its tasks can run on other machines at lower cost
+    NEVER_BOOTED = "never came up"  # its agent has not sent a heartbeat in time
     INSTANCE_FAILED = "failed"  # the cloud lists it as failed
-    RECLAIM_NOTICE = "notice"  # the cloud takes the spot instance back soon
+    RECLAIM_NOTICE = "notice"  # the cloud will reclaim the spot instance soon
     LOST = "lost"  # it has sent no heartbeat for too long
     NO_COMMANDS = "deaf"  # it sends heartbeats, but no command reaches it
-    NOT_STOPPING = "stuck"  # a task there goes on although it was told to stop
+    NOT_STOPPING = "stuck"  # a task on it keeps running after a stop command
     QUARANTINED = "sick"  # tasks of several jobs have failed there
 
 
 class DrainRecord(msgspec.Struct, omit_defaults=True, rename={"reason": "why", "requested_at_us": "at_us"}):
-    """A machine that takes no new tasks, is emptied and then deleted. Key: ``drain_key``.
+    """A machine that gets no new tasks, is emptied and then deleted. Key: ``drain_key``.
 
     Writers: the leader (the key must be absent); the shard's owner, which also deletes it with the machine
     (no further preconditions).
 
     Attributes:
-        reason: a ``DrainReason``; text, since other releases may store reasons that are unknown here.
+        reason: a ``DrainReason``; stored as text since other releases may store reasons unknown to this one.
         requested_at_us: wall time of the request.
     """
 
@@ -206,13 +206,14 @@
 class InstanceRequestRecord(msgspec.Struct, omit_defaults=True, rename={"requested_at_us": "at_us"}):
     """A request for instances, written before it is sent to the cloud. Key: ``instance_request_key``.
 
-    Writer: the leader. Preconditions: absent, later its version. Its name holds the leader's fencing token.
+    Writer: the leader. Preconditions: the key must be absent; later the record's version. The name of the
+    request contains the leader's fencing token.
 
     Attributes:
         type: the machine type.
-        zone: where they are to be.
-        spot: whether they are to be spot instances.
-        count: how many.
+        zone: the requested zone.
+        spot: whether spot instances are requested.
+        count: the number of instances.
         requested_at_us: wall time of the request.
         machines: the names of the instances; None until the request is answered.
     """
@@ -226,14 +227,15 @@
 
 
 class LeaseHolderRecord(msgspec.Struct, rename={"node_version": "v"}):
-    """The holder of a shard or of the lead. Keys: ``shard_lease_key`` and ``LEADER_LEASE_KEY``.
+    """The holder of a shard lease or of the leader lease. Keys: ``shard_lease_key``, ``LEADER_LEASE_KEY``.
 
-    Writer: the node that claims it (absent, or given up in the version that it has read) or gives it up (its
-    fencing token). The key goes with the holder's lease; its version is the holder's fencing token.
+    Writer: the node that claims the lease (the key must be absent, or given up at the version that the node
+    has read) or gives it up (its fencing token). The key is deleted when the holder's lease ends; its version
+    is the holder's fencing token.
 
     Attributes:
-        node: the holder; empty: given up by one that was cut off, free for any other.
-        node_version: what the node understands, see ``NODE_VERSION``.
+        node: the holder; empty: a partitioned holder gave the lease up, and any other node may claim it.
+        node_version: the features that the node supports, see ``NODE_VERSION``.
     """
 
     node: str
@@ -241,9 +243,9 @@
 
 
 class WriteFenceRecord(msgspec.Struct):
-    """A write fence (``controller/write_fence.py``); only its version says something. Key: ``fence_key``.
+    """A write fence (``controller/write_fence.py``); only its version is used. Key: ``fence_key``.
 
-    Writer: the lease holder, when it does not know how a transaction of its own has ended. Preconditions: its
+    Writer: the lease holder, when the outcome of one of its transactions is unknown. Preconditions: its
     fencing token and the fence's version.
     """
 
@@ -251,11 +253,11 @@
 class ShardLayoutRecord(msgspec.Struct):
     """How machines are divided over shards (``ShardLayout``). Key: ``SHARD_LAYOUT_KEY``.
 
-    Writer: the leader, once, before a machine is recorded (the key must be absent). It never changes while
-    there are machines.
+    Writer: the leader, once, before any machine is recorded (the key must be absent). The layout does not
+    change while there are machines.
 
     Attributes:
-        zones: the zone of each shard: machines go to the shards of their zone; empty: to any shard.
+        zones: the zone of each shard; machines belong to a shard of their zone. Empty: to any shard.
     """
 
     zones: list[str] = []
@@ -277,7 +279,7 @@
 
 
 def decode_record(key: str, raw: bytes | memoryview) -> msgspec.Struct | None:
-    """Read a stored value by its key; None if the kind is not of the core or the value is unreadable."""
+    """Decode a stored value by its key; None if the kind is not of the core or the value is unreadable."""
     decoder = DECODERS.get(key.partition("/")[0])
     if decoder is None:
         return None
