--- a/pearstep/controller/leader_loop.py
+++ b/pearstep/controller/leader_loop.py
@@ -76,7 +76,7 @@
         await leadership.fix_shard_layout()
         if self._extension is not None:
             await self._extension.before_plan(leadership)
-        if not leadership.replica.knows_all_before_last_end and not await leadership.read_barrier():
+        if not leadership.replica.is_complete_up_to_last_end and not await leadership.read_barrier():
             return
         started_us = now_us()
         plans = leadership.plan()
--- a/pearstep/state/job.py
+++ b/pearstep/state/job.py
@@ -1,4 +1,4 @@
-"""A job as the records describe it, and its state machine."""
+"""A job as described by its committed records, and the job state machine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pearstep.domain.task_set import parse_task_ranges
 from pearstep.state.records import TASKS_PER_RECORD, JobRecord, PlacementRecord, RouteRecord
 
-# Compared for each task or machine; on CPython 3.11 a member is found slowly on its enum.
+# Compared once for each task or machine; looking up a member of an enum is slow on CPython 3.11.
 _QUEUED = JobState.QUEUED
 _DONE = JobState.DONE
 
@@ -27,7 +27,7 @@
 
 
 class PlacementChunk(NamedTuple):
-    """Names one placement record of a job: the shard, and which chunk of the job's tasks."""
+    """Identifies one placement record of a job by its shard and its chunk of the job's tasks."""
 
     shard_id: int
     chunk: int
@@ -38,10 +38,10 @@
 
     Attributes:
         record: the record as stored.
-        version: the record's version; 0: the job's own record routes it there.
+        version: the record's version; 0: the route comes from the job's own record.
         tasks: all tasks of the route, as a bit mask.
         zone_tasks: the tasks that are bound to a zone, as bit masks by zone.
-        observed_at_us: when this replica learned of the route.
+        observed_at_us: when this replica first read the route.
     """
 
     __slots__ = ("observed_at_us", "record", "tasks", "version", "zone_tasks")
@@ -49,7 +49,7 @@
     def __init__(
         self, record: RouteRecord, version: int, tasks: int, zone_tasks: dict[str, int], observed_at_us: int
     ) -> None:
-        """Keep a record with its sets as bit masks."""
+        """Create a route from a record and its task sets as bit masks."""
         self.record = record
         self.version = version
         self.tasks = tasks
@@ -58,7 +58,7 @@
 
     @classmethod
     def from_record(cls, record: RouteRecord, version: int, observed_at_us: int) -> Route:
-        """Read the sets of tasks of a stored record."""
+        """Create a route by parsing the task sets of a stored record."""
         zone_tasks = {zone: parse_task_ranges(text) for zone, text in (record.zone_tasks or {}).items()}
         tasks = parse_task_ranges(record.tasks)
         for tasks_of_zone in zone_tasks.values():
@@ -79,7 +79,7 @@
     __slots__ = ("done_tasks", "placed_tasks", "record", "version")
 
     def __init__(self, record: PlacementRecord, version: int, chunk: int) -> None:
-        """Read the sets of tasks of the record of a chunk."""
+        """Derive the task sets from the record of a chunk."""
         self.record = record
         self.version = version
         self.done_tasks = int(record.done, 16) << (chunk * TASKS_PER_RECORD)
@@ -95,24 +95,24 @@
 
 
 class Job:
-    """Everything committed about a job.
+    """The committed state of a job.
 
     Attributes:
         spec: the job as submitted.
         state: see ``JobState``.
-        version: the version of its own record.
-        submitted_at_us: wall time of its submission.
-        ended_at_us: wall time of its end; 0: it has not ended.
-        first_seen_at_us: when this replica learned of it.
-        final_seen_at_us: when this replica learned that it has ended.
-        cancellation_acknowledged: whether each node has acknowledged that it is cancelled.
-        routes: its routes by shard.
-        placements: its placement records, by ``PlacementChunk``.
-        excluded_tasks: tasks that are not for this cluster; they count as done from the beginning.
+        version: the version of the job's own record.
+        submitted_at_us: wall time of the submission.
+        ended_at_us: wall time of the end; 0: the job has not ended.
+        first_seen_at_us: when this replica first read the job.
+        final_seen_at_us: when this replica first read the job's final state.
+        cancellation_acknowledged: whether each node has acknowledged the cancellation.
+        routes: the routes by shard.
+        placements: the placement records by ``PlacementChunk``.
+        excluded_tasks: tasks that this cluster does not run; they count as done from the start.
         done_tasks: tasks that are done.
-        offloaded_tasks: tasks that are lent now and not to be routed; ``federation`` says which.
-        run_until_us: wall time from which on nothing of it may run here; 0: no limit.
-        placed_tasks: tasks that have a placement anywhere.
+        offloaded_tasks: tasks that are lent to a peer now and are not routed; set by ``federation``.
+        run_until_us: wall time from which on no task of the job may run here; 0: no limit.
+        placed_tasks: tasks that have a placement in any shard.
         routed_tasks: tasks that some shard may place.
     """
 
@@ -136,7 +136,7 @@
     )
 
     def __init__(self, record: JobRecord, version: int, seen_at_us: int) -> None:
-        """Take over a job's own record; routes and placements come later."""
+        """Create a job from its own record, without routes and placements."""
         self.spec: JobSpec = record.spec
         self.state = record.state
         self.version = version
@@ -146,7 +146,7 @@
         self.final_seen_at_us = seen_at_us
         self.cancellation_acknowledged = False
         self.routes: dict[int, Route] = {}
-        # The keys are PlacementChunks; declared as what they extend, since callers look up with plain tuples.
+        # The keys are PlacementChunks. The type is that of plain tuples since callers look up with those.
         self.placements: dict[tuple[int, int], CommittedPlacements] = {}
         excluded = parse_task_ranges(record.excluded_tasks) if record.excluded_tasks else 0
         self.excluded_tasks = self.done_tasks = excluded
@@ -156,9 +156,9 @@
         self.routed_tasks = 0
 
     def recompute_task_sets(self) -> None:
-        """Derive the sets of placed and routed tasks anew after routes or placements have changed.
+        """Recompute the sets of placed and routed tasks after routes or placements have changed.
 
-        They are kept rather than derived at each use: the leader goes through every open job on every pass.
+        The sets are cached since the leader reads them for every open job on every pass.
         """
         self.placed_tasks = self.routed_tasks = 0
         for placed in self.placements.values():
@@ -167,10 +167,10 @@
             self.routed_tasks |= route.tasks
 
     def update(self, record: JobRecord, version: int, now_us: int) -> None:
-        """Take over a newer version of the job's own record.
+        """Apply a newer version of the job's own record.
 
         Raises:
-            InvalidTransitionError: the job has ended otherwise already; its state stays.
+            InvalidTransitionError: the job is already in another final state, which stays unchanged.
         """
         if not self.is_final:
             self.final_seen_at_us = now_us
@@ -181,7 +181,7 @@
             self.run_until_us = record.run_until_us
 
     def past_run_limit(self, wall_us: int) -> bool:
-        """Tell whether the time is past during which the job may run here."""
+        """Tell whether the job's limit ``run_until_us`` has been reached."""
         return bool(self.run_until_us) and wall_us >= self.run_until_us
 
     @property
@@ -190,14 +190,14 @@
         return self.state != _QUEUED
 
     def is_overdue(self, wall_us: int, first_start_within_us: int) -> bool:
-        """Tell whether nothing of the job was ever placed although half of its time to begin is over.
+        """Tell whether no task of the job was ever placed and half of its time to start is over.
 
-        Seen (relevamiento-forestal): arrays of low priority behind a steady flow of normal ones had their
-        first task after 310 s, the last after 451 s.
+        Seen (relevamiento-forestal): low-priority arrays behind a steady flow of normal ones started their
+        first task after 310 s, the last of them after 451 s.
 
         Args:
-            wall_us: the wall time now.
-            first_start_within_us: the time within which every job is to begin; 0: there is none.
+            wall_us: the current wall time.
+            first_start_within_us: the time within which every job is to start its first task; 0: no limit.
         """
         return (
             bool(first_start_within_us)
@@ -207,25 +207,25 @@
         )
 
     @property
-    def leaves_no_placements(self) -> bool:
-        """Whether the job's end says by itself that nothing of it is placed anywhere.
+    def ended_without_placements(self) -> bool:
+        """Whether the job's final state implies that none of its tasks is placed.
 
-        An array is done when its last task has exited. So its last placements need not be written: a change
-        fewer for each job, where many small ones come. The tasks of a gang may keep their placements for a
-        moment.
+        An array is done when its last task has exited, so the removal of its last placements need not be
+        written. This saves one write for each job, which matters for many small jobs. The tasks of a gang may
+        keep their placements briefly after the gang is done.
         """
         return self.state == _DONE and self.spec.kind == "array"
 
     @property
     def all_tasks_done(self) -> bool:
-        """Whether every task is recorded as done; services never are."""
+        """Whether every task is recorded as done; always false for services."""
         return self.spec.kind != "service" and self.done_tasks == self.spec.all_tasks
 
     @property
     def consecutive_failures(self) -> int:
-        """How often the job's tasks have failed although none has ever completed.
+        """The number of failures of the job's tasks if none has ever completed, else 0.
 
-        Such a job was submitted with a mistake, or met faulty machines only.
+        A job with such failures was submitted with a mistake, or has run on faulty machines only.
         """
         if self.done_tasks & ~self.excluded_tasks:
             return 0
@@ -233,17 +233,17 @@
 
     @property
     def spans_shards(self) -> bool:
-        """Whether the job is a gang that the leader has spread over several shards."""
+        """Whether the job is a gang that the leader has routed to several shards as one attempt."""
         return any(route.record.machines for route in self.routes.values())
 
     @property
     def has_waiting_tasks(self) -> bool:
-        """Whether some task is neither done nor placed anywhere."""
+        """Whether the job is queued and some task is neither done, placed nor offloaded."""
         return self.state == _QUEUED and bool(
             self.spec.all_tasks & ~self.done_tasks & ~self.placed_tasks & ~self.offloaded_tasks
         )
 
     def tasks_within_quota(self) -> int:
-        """Return the tasks that use the team's quota limit: placed anywhere, or allowed to be."""
+        """Return the tasks that count against the team's quota limit: tasks that are placed or routed."""
         open_routes = 0 if self.is_final else self.routed_tasks & ~self.done_tasks
         return open_routes | self.placed_tasks
--- a/pearstep/state/replica.py
+++ b/pearstep/state/replica.py
@@ -1,7 +1,7 @@
-"""A replica of what the key-value store holds, kept up to date by its changes.
+"""A replica of the records in the key-value store, kept up to date from the store's changes.
 
-It only ever goes forward: a change older than what is known of its key is ignored, so that answers may
-overlap and arrive in any order.
+A change that is older than the known version of its key is ignored, so answers of the store may overlap and
+arrive in any order.
 """
 
 from __future__ import annotations
@@ -43,32 +43,32 @@
     route_key,
 )
 
-# How many keys of unknown or unreadable records are kept for operators.
+# The maximum number of keys of unknown or unreadable records that are kept for operators.
 MAX_UNREADABLE_KEYS = 100
 
-# Names a task of any job: the job's id, and the task's number. A plain tuple: one is made for each placement
-# that comes or goes, and a NamedTuple takes several times as long.
+# Identifies a task by job id and task number. It is a plain tuple since one is created for each placement
+# that is added or removed, and creating a NamedTuple takes several times as long.
 TaskId = tuple[str, int]
 
-# Reads records of one kind for a program beyond the core: is given the rest of the key after the kind, the
-# version, and the value (None: deleted).
+# A reader of one kind of record for a program beyond the core. Its arguments are the rest of the key after
+# the kind, the version, and the value (None: deleted).
 ExtensionReader = Callable[[str, int, bytes | None], None]
 
 
 class LeaseHolder:
-    """The holder of a shard or of the lead.
+    """The holder of a shard lease or of the leader lease.
 
     Attributes:
-        node: the holder; empty: given up.
+        node: the holder; empty: the lease was given up.
         fencing_token: the version of the lease's key.
-        node_version: what the node understands, see ``NODE_VERSION``.
-        observed_at_us: when this replica learned of it.
+        node_version: the record features that the node supports, see ``NODE_VERSION``.
+        observed_at_us: when this replica first read the holder.
     """
 
     __slots__ = ("fencing_token", "node", "node_version", "observed_at_us")
 
     def __init__(self, node: str, fencing_token: int, node_version: int = 0, observed_at_us: int = 0) -> None:
-        """Name the holder and its fencing token."""
+        """Create a holder."""
         self.node = node
         self.fencing_token = fencing_token
         self.node_version = node_version
@@ -76,7 +76,7 @@
 
 
 class RegisteredMachine(NamedTuple):
-    """A machine that has a record, and the shard whose owner wrote it."""
+    """A machine's record, and the shard whose owner wrote it."""
 
     shard_id: int
     record: MachineRecord
@@ -94,35 +94,36 @@
     """All committed records, by kind.
 
     Attributes:
-        revision: up to which revision all changes are known.
+        revision: the revision up to which all changes have been applied.
         versions: the version of each key that exists.
         jobs: all jobs by id.
-        open_jobs: the jobs that still need attention: not final, or with tasks that may still be somewhere.
-        last_end_revision: the latest revision at which a job is known to have ended. Ends are known before
-            all that was committed earlier: this node's own cancellations, and what peers tell of theirs.
-        job_changes: how often job records have changed: what is derived from them stands until then.
+        open_jobs: the jobs that are not final or have placed tasks, by id.
+        last_end_revision: the latest revision at which a job is known to have ended. It may be later than
+            ``revision``, since this node's own cancellations and those that peers report are applied at once.
+        job_changes: the number of changes of job records; values derived from them are valid until the next
+            change.
         machines: the machines that have a record, by name.
-        drains: the machines to be emptied and deleted, by name.
+        drains: the machines to be drained and deleted, by name.
         instance_requests: requests for instances, by name.
-        shard_holders: who holds each shard.
-        leader: who leads; None: nobody.
+        shard_holders: the holder of each shard.
+        leader: the holder of the leader lease; None: there is no leader.
         layout: how machines are divided over shards; None: not decided yet.
         records_before_job: routes and placements whose job has no record, by job id.
         unreadable: the first keys that are of an unknown kind or whose value could not be read.
         extension_readers: readers of records that are not of the core, by kind.
-        has_unread_offloads: whether the store keeps loans of jobs and nothing in this process reads them:
-            what they forbid is not known.
-        has_unread_history: whether finished jobs have left their records and nothing in this process reads
-            where they are: of an id without a record nothing is known.
-        placements_by_machine: what the records place on each machine.
-        changed_machines: the machines whose records have changed since the leader last took them: with
-            hundreds of machines it must not count them all anew each time.
-        machine_reservations: machines that are reserved for work that can run nowhere else.
-        quota_guarantees: jobs within their teams' guarantees; the controller sets the teams.
+        has_unread_offloads: whether the store holds loans of jobs and no part of this process reads them, so
+            that the restrictions they impose are unknown.
+        has_unread_history: whether finished jobs have left their records and no part of this process reads
+            the history, so that the state of a job id without a record is unknown.
+        placements_by_machine: the recorded placements on each machine.
+        changed_machines: the machines whose records have changed since the leader last counted them; with
+            hundreds of machines the leader must not count all of them on every pass.
+        machine_reservations: machines that are reserved for jobs that can run nowhere else.
+        quota_guarantees: the jobs within their teams' guarantees; the controller sets the teams.
     """
 
     def __init__(self) -> None:
-        """Begin empty, before any change is known."""
+        """Create an empty replica."""
         self.revision = 0
         self.versions: dict[str, int] = {}
         self.jobs: dict[str, Job] = {}
@@ -146,18 +147,18 @@
         self.quota_guarantees = QuotaGuarantees()
 
     @property
-    def knows_all_before_last_end(self) -> bool:
-        """Whether all is known that was committed before the latest known end of a job.
+    def is_complete_up_to_last_end(self) -> bool:
+        """Whether all changes before the latest known end of a job have been applied.
 
-        A job that has ended uses of its team's limit what the records place; a placement that was committed
-        just before its end may be missing here, and its task runs. Found by reading
-        (``tests/test_cancelling.py``): a leader that hears of the end first takes the limit for free, and
-        plans the team's next job beside what still runs.
+        A job that has ended counts against its team's limit with its recorded placements. A placement that
+        was committed just before the end may be missing here although its task runs. A leader that reads the
+        end first then sees the limit as free and plans the team's next job beside the running task
+        (``tests/test_cancelling.py``).
         """
         return self.revision >= self.last_end_revision
 
     def version_of(self, key: str) -> int:
-        """Return the last known version of a key, 0 if it does not exist."""
+        """Return the known version of a key; 0 if the key does not exist."""
         return self.versions.get(key, 0)
 
     def put(self, key: str, version: int, raw: bytes | memoryview, now_us: int) -> bool:
@@ -170,7 +171,7 @@
             now_us: the time by this node's clock.
 
         Returns:
-            False if it is older than what is known of its key, or can't be read.
+            False if the put is not newer than the known version of its key, or the value can't be read.
         """
         if version <= self.versions.get(key, 0):
             return False
@@ -182,7 +183,7 @@
         kind, _, rest = key.partition("/")
         extension_reader = self.extension_readers.get(kind)
         if extension_reader is None:
-            self._note_unreadable(key)
+            self._add_unreadable_key(key)
             return False
         self.versions[key] = version
         extension_reader(rest, version, bytes(raw))
@@ -196,10 +197,10 @@
             version: the revision of the delete.
 
         Returns:
-            False if it is older than what is known of its key.
+            False if the key is not known, or the delete is not newer than its known version.
         """
-        known = self.versions.get(key, 0)
-        if not known or known >= version:
+        known_version = self.versions.get(key, 0)
+        if not known_version or known_version >= version:
             return False
         del self.versions[key]
         kind, *path = key.split("/")
@@ -211,12 +212,12 @@
         return True
 
     def cancelled_after(self, revision: int) -> list[tuple[str, int, int]]:
-        """List the jobs that were cancelled by a later revision and may still have tasks.
+        """Return the jobs that were cancelled after a revision and may still have tasks.
 
-        What has left its records has no task anywhere.
+        Jobs that have left their records are not included, since they have no tasks.
 
         Returns:
-            Job id, revision of the cancellation and wall time of it, in the order of revisions.
+            The job id, the revision and the wall time of each cancellation, in the order of revisions.
         """
         cancelled = [
             (job_id, job.version, job.ended_at_us)
@@ -226,10 +227,10 @@
         return sorted(cancelled, key=lambda end: end[1])
 
     def guaranteed_start_within_us(self, job_id: str) -> int:
-        """Return the time within which an open job is to start for its team's guarantee; 0: not within it."""
+        """Return the time within which an open job is to start by its team's guarantee; 0: outside of it."""
         return self.quota_guarantees.start_within_us(job_id, self.open_jobs, self.job_changes)
 
-    def _note_unreadable(self, key: str) -> None:
+    def _add_unreadable_key(self, key: str) -> None:
         self.has_unread_offloads |= key.startswith(OFFLOAD_PREFIXES)
         self.has_unread_history |= key.startswith((HISTORY_ROOT_PREFIX, HISTORY_BLOCK_PREFIX))
         if key not in self.unreadable and len(self.unreadable) < MAX_UNREADABLE_KEYS:
@@ -251,17 +252,17 @@
             job = self._add_job(job_id, version, record, now_us)
         else:
             self._update_job(job, version, record, now_us)
-        self._index(job)
+        self._update_open_jobs(job)
 
     def _add_job(self, job_id: str, version: int, record: JobRecord, now_us: int) -> Job:
         job = self.jobs[job_id] = Job(record, version, now_us)
         self.machine_reservations.record_job(record.spec, now_us)
         if record.shard_id is not None:
-            # Any route record has a later version than 0 and takes its place.
+            # Any route record has a version above 0 and replaces this route.
             route = RouteRecord(f"0-{record.spec.tasks - 1}")
             job.routes[record.shard_id] = Route(route, 0, record.spec.all_tasks, {}, now_us)
             job.recompute_task_sets()
-        # While the keys are listed, a job's routes and placements may be read before it.
+        # While the keys are listed, a job's routes and placements may be read before the job.
         for early in self.records_before_job.pop(job_id, ()):
             early_record = decode_record(early.key, early.raw)
             if early_record is not None:
@@ -270,28 +271,28 @@
 
     def _update_job(self, job: Job, version: int, record: JobRecord, now_us: int) -> None:
         job.update(record, version, now_us)
-        if not job.leaves_no_placements:
+        if not job.ended_without_placements:
             return
         for chunk, placed in job.placements.items():
             job.placements[chunk] = empty = placed.without_placements()
             self._update_placements_by_machine(job, placed, empty)
 
     def _delete_job(self, key: str, path: list[str]) -> None:
-        """Forget a finished job that has left its record: whoever is asked for it looks into the history."""
+        """Remove a finished job whose record was deleted; requests for it are answered from the history."""
         job_id = path[0]
         self.job_changes += 1
         job = self.jobs.pop(job_id, None)
         self.open_jobs.pop(job_id, None)
         if job is None:
             return
-        # What is still there was written when the job's records went, and is left behind.
+        # The remaining routes and placements were written while the job's records were being deleted.
         for shard_id, route in job.routes.items():
             if route.version:
-                self._keep_until_job(job_id, route_key(shard_id, job_id), route.version, route.record)
+                self._store_early_record(job_id, route_key(shard_id, job_id), route.version, route.record)
         for (shard_id, chunk), placed in job.placements.items():
             self._update_placements_by_machine(job, placed, None)
             key = placement_key(shard_id, job_id, chunk)
-            self._keep_until_job(job_id, key, placed.version, placed.record)
+            self._store_early_record(job_id, key, placed.version, placed.record)
 
     # Routes. Path: shard, job id.
 
@@ -299,7 +300,7 @@
         shard_id, job_id = path[0], path[1]
         job = self.jobs.get(job_id)
         if job is None:
-            self._keep_until_job(job_id, key, version, record)
+            self._store_early_record(job_id, key, version, record)
             return
         job.routes[int(shard_id)] = Route.from_record(record, version, now_us)
         job.recompute_task_sets()
@@ -321,17 +322,17 @@
         shard_id, job_id, chunk = path[0], path[1], path[2]
         job = self.jobs.get(job_id)
         if job is None:
-            self._keep_until_job(job_id, key, version, record)
+            self._store_early_record(job_id, key, version, record)
             return
-        where = PlacementChunk(int(shard_id), int(chunk))
-        placed = CommittedPlacements(record, version, where.chunk)
-        if job.leaves_no_placements:
+        chunk_id = PlacementChunk(int(shard_id), int(chunk))
+        placed = CommittedPlacements(record, version, chunk_id.chunk)
+        if job.ended_without_placements:
             placed = placed.without_placements()
-        before = job.placements.get(where)
-        job.placements[where] = placed
+        before = job.placements.get(chunk_id)
+        job.placements[chunk_id] = placed
         job.done_tasks |= placed.done_tasks
         self._update_placements_by_machine(job, before, placed)
-        self._index(job)
+        self._update_open_jobs(job)
 
     def _delete_placements(self, key: str, path: list[str]) -> None:
         shard_id, job_id, chunk = path[0], path[1], path[2]
@@ -341,7 +342,7 @@
             return
         before = job.placements.pop(PlacementChunk(int(shard_id), int(chunk)), None)
         self._update_placements_by_machine(job, before, None)
-        self._index(job)
+        self._update_open_jobs(job)
 
     # Machines. Path: shard, machine.
 
@@ -375,7 +376,7 @@
     def _delete_instance_request(self, key: str, path: list[str]) -> None:
         self.instance_requests.pop(path[0], None)
 
-    # Leases. Path: shard; none for the lead.
+    # Leases. Path: shard; empty for the leader lease.
 
     def _put_shard_lease(
         self, key: str, path: list[str], version: int, record: LeaseHolderRecord, now_us: int
@@ -401,7 +402,7 @@
     def _delete_layout(self, key: str, path: list[str]) -> None:
         self.layout = None
 
-    # Of a write fence only the version counts, which ``versions`` has.
+    # Of a write fence only the version is used, which ``versions`` holds.
 
     def _put_write_fence(
         self, key: str, path: list[str], version: int, record: msgspec.Struct, now_us: int
@@ -411,16 +412,16 @@
     def _delete_write_fence(self, key: str, path: list[str]) -> None:
         pass
 
-    def _keep_until_job(
+    def _store_early_record(
         self, job_id: str, key: str, version: int, record: RouteRecord | PlacementRecord
     ) -> None:
         early = EarlyRecord(key, version, msgspec.json.encode(record))
         self.records_before_job.setdefault(job_id, []).append(early)
 
     def _drop_early_record(self, job_id: str, key: str) -> None:
-        kept = [early for early in self.records_before_job.pop(job_id, ()) if early.key != key]
-        if kept:
-            self.records_before_job[job_id] = kept
+        remaining = [early for early in self.records_before_job.pop(job_id, ()) if early.key != key]
+        if remaining:
+            self.records_before_job[job_id] = remaining
 
     def _update_placements_by_machine(
         self, job: Job, before: CommittedPlacements | None, after: CommittedPlacements | None
@@ -447,7 +448,7 @@
         if not placements:
             del self.placements_by_machine[machine]
 
-    def _index(self, job: Job) -> None:
+    def _update_open_jobs(self, job: Job) -> None:
         job_id = job.spec.job_id
         if job.state == JobState.QUEUED or job.placed_tasks:
             self.open_jobs[job_id] = job
@@ -460,15 +461,15 @@
 
 
 class _RecordHandlers(NamedTuple):
-    """What a change of one kind of record does to the replica."""
+    """The methods that apply changes of one kind of record to the replica."""
 
-    # With the key, its parts after the kind, the version, the record, and the time by this node's clock.
+    # Arguments: the key, its parts after the kind, the version, the record, the time by this node's clock.
     put: Callable[[Replica, str, list[str], int, Any, int], None]
-    # With the key and its parts after the kind.
+    # Arguments: the key and its parts after the kind.
     delete: Callable[[Replica, str, list[str]], None]
 
 
-# Of the kinds in ``records.RECORD_TYPES``; a handler is given the type that is listed there for its kind.
+# The handlers of the kinds in ``records.RECORD_TYPES``; each takes the record type that is listed there.
 _HANDLERS: dict[str, _RecordHandlers] = {
     JOB_KIND: _RecordHandlers(Replica._put_job, Replica._delete_job),
     ROUTE_KIND: _RecordHandlers(Replica._put_route, Replica._delete_route),
--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -165,14 +165,14 @@
 def test_leader_that_knows_of_an_end_ahead_of_the_rest_takes_its_limit_for_free():
     # The hazard itself: what is planned from such a view is over the limit.
     o = ahead()
-    assert not o.replica.knows_all_before_last_end
+    assert not o.replica.is_complete_up_to_last_end
     assert [plan.job.spec.job_id for plan in o.planner.plan(o.now, 0, o.now)] == ["req-2"]
 
 
 def test_leader_reads_what_it_lacks_before_it_plans():
     o = ahead()
     o.ledger.feed(o.replica, o.now)
-    assert o.replica.knows_all_before_last_end and not o.planner.plan(o.now, 0, o.now)
+    assert o.replica.is_complete_up_to_last_end and not o.planner.plan(o.now, 0, o.now)
 
 
 @pytest.mark.parametrize("served", [True, False])
@@ -189,7 +189,7 @@
         return None
 
     def plan():
-        plans.append(o.replica.knows_all_before_last_end)
+        plans.append(o.replica.is_complete_up_to_last_end)
         return []
 
     chief = SimpleNamespace(
