--- a/pearstep/controller/leadership.py
+++ b/pearstep/controller/leadership.py
@@ -17,7 +17,7 @@
 from pearstep.leader.route_planner import RoutePlanner
 from pearstep.state.records import NODE_VERSION, ShardLayoutRecord
 from pearstep.state.replica import Replica
-from pearstep.state.shard_layout import may_fix_layout
+from pearstep.state.shard_layout import can_use_zone_layout
 from pearstep.transport.event_log import EventLogger
 from pearstep.transport.kv_client import KeyValueStore
 
@@ -123,7 +123,7 @@
             return
         holders = [self.replica.shard_holders.get(shard) for shard in range(self.settings.shard_count)]
         versions = [holder.node_version if holder is not None and holder.node else None for holder in holders]
-        within_zones = may_fix_layout(len(self.replica.machines), versions, NODE_VERSION)
+        within_zones = can_use_zone_layout(len(self.replica.machines), versions, NODE_VERSION)
         if within_zones and not self.settings.tuning.leading.parts_within_zones:
             within_zones = False
         if within_zones is not None:
--- a/pearstep/state/__init__.py
+++ b/pearstep/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is stored in the key-value store, and this node's replica of it."""
+"""The records in the key-value store, and this node's replica of them."""
--- a/pearstep/state/shard_layout.py
+++ b/pearstep/state/shard_layout.py
@@ -1,4 +1,4 @@
-"""Shards of the machines: which shard a machine belongs to."""
+"""Assignment of machines to shards."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 
 def shard_of(machine: str, shard_count: int) -> int:
-    """Return the shard of a machine, by a hash that every node and every release computes alike."""
+    """Return the shard of a machine by a hash that is the same on every node and in every release."""
     return zlib.crc32(machine.encode()) % shard_count
 
 
 class ShardLayout:
-    """How machines are divided over shards: over all of them, or over those of the machine's zone.
+    """How machines are divided over shards: over all shards, or over the shards of the machine's zone.
 
-    With shards within a zone, nobody who must answer a machine is on the far side when zones lose each other.
-    A machine whose zone has no shard is assigned to one of all.
+    With shards within zones, the node that must answer a machine is in the machine's zone, so the machine can
+    reach it also while zones are partitioned from each other. A machine whose zone has no shard is assigned
+    to one of all shards.
 
     Attributes:
-        shard_count: how many shards there are.
+        shard_count: the number of shards.
         zones: the zone of each shard; empty: shards have no zone.
     """
 
@@ -36,22 +37,24 @@
         return shards[shard_of(machine, len(shards))] if shards else shard_of(machine, self.shard_count)
 
 
-def may_fix_layout(machines: int, versions: Sequence[int | None], needed: int) -> bool | None:
-    """Decide whether shards may be laid out within zones, once, before a machine has been taken in.
+def can_use_zone_layout(
+    machine_count: int, node_versions: Sequence[int | None], required_version: int
+) -> bool | None:
+    """Decide once, before any machine is recorded, whether machines are assigned to shards within zones.
 
     A node of an earlier release divides machines over all shards, and two nodes that divide them differently
     would both act for the same machine.
 
     Args:
-        machines: how many machines have been taken in.
-        versions: the node versions of the shards' holders; None: nobody holds the shard.
-        needed: the node version from which on a node understands such layouts.
+        machine_count: the number of recorded machines.
+        node_versions: the node versions of the shards' holders; None: the shard has no holder.
+        required_version: the lowest node version that supports layouts within zones.
 
     Returns:
-        True or False, for good; None: not certain yet.
+        The final decision; None: it cannot be made yet.
     """
-    if machines:
+    if machine_count:
         return False
-    if any(version is None for version in versions):
+    if any(version is None for version in node_versions):
         return None
-    return all(version is not None and version >= needed for version in versions)
+    return all(version is not None and version >= required_version for version in node_versions)
--- a/pearstep/state/transactions.py
+++ b/pearstep/state/transactions.py
@@ -1,4 +1,4 @@
-"""The limits of the key-value store on one transaction, and how much of them a transaction takes up."""
+"""The limits of the key-value store on one transaction, and the size of a transaction against them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# Set by the protocol of the state service.
+# Limits of the state service's protocol.
 CONDITIONS_PER_OPERATION = 4
 MAX_BODY_BYTES = 64 * 1024
 # Upper bounds of the JSON around the body, a condition's key, and an operation's key and value.
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True)
 class TransactionLimits:
-    """What one transaction may hold.
+    """The limits of one transaction.
 
     Attributes:
-        operations: how many puts and deletes.
-        conditions: how many preconditions.
-        value_bytes: the size of one value.
-        body_bytes: the size of the request.
+        operations: the maximum number of puts and deletes.
+        conditions: the maximum number of preconditions.
+        value_bytes: the maximum size of one value.
+        body_bytes: the maximum size of the request body.
     """
 
     operations: int
@@ -40,10 +40,10 @@
 
 
 class TransactionSize:
-    """The size of a transaction while it is put together."""
+    """The size of a transaction that is being assembled."""
 
     def __init__(self, limits: TransactionLimits, conditions: Iterable[str] = ()) -> None:
-        """Begin with the keys that every transaction of the writer is conditional on."""
+        """Start with the keys on which every transaction of the writer is conditional."""
         self.limits = limits
         self._conditions: set[str] = set()
         self._operations: dict[str, int] = {}
@@ -58,12 +58,12 @@
     def try_add(
         self, conditions: Collection[str], value_bytes: Mapping[str, int], replaces: Collection[str] = ()
     ) -> bool:
-        """Add conditions and operations, if the transaction then keeps to its limits.
+        """Add conditions and operations if the transaction stays within its limits.
 
         Args:
-            conditions: keys that it becomes conditional on.
+            conditions: keys on which the transaction becomes conditional.
             value_bytes: the size of each value that is put, by key; 0 for a key that is deleted.
-            replaces: keys whose operations are left out instead.
+            replaces: keys whose earlier operations are removed from the transaction.
 
         Returns:
             Whether they were added; if not, nothing has changed.
@@ -95,9 +95,9 @@
         )
 
     def free_conditions(self, reserved: Collection[str] = ()) -> int:
-        """Return how many more conditions fit beside those on the keys that are ``reserved``."""
+        """Return how many more conditions fit, not counting those on the ``reserved`` keys."""
         return self.limits.conditions - len(self._conditions | set(reserved))
 
     def has_condition(self, key: str) -> bool:
-        """Tell whether the transaction is conditional on a key already."""
+        """Tell whether the transaction is already conditional on a key."""
         return key in self._conditions
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -15,7 +15,7 @@
 from pearstep.controller.lease_claimer import LeaseClaimer
 from pearstep.state.records import NODE_VERSION, LeaseHolderRecord, MachineRecord, ShardLayoutRecord
 from pearstep.state.replica import Replica
-from pearstep.state.shard_layout import ShardLayout, may_fix_layout, shard_of
+from pearstep.state.shard_layout import ShardLayout, can_use_zone_layout, shard_of
 
 ZONES = ["north", "south", "north", "south", "north"]
 
@@ -39,11 +39,11 @@
 
 
 def test_the_layout_is_settled_once_nobody_could_know_another():
-    assert may_fix_layout(0, [1, 1, 1], 1) is True
-    assert may_fix_layout(0, [1, 0, 1], 1) is False  # an earlier release deals over all
-    assert may_fix_layout(0, [1, None, 1], 1) is None  # whoever takes that part may be one
-    assert may_fix_layout(3, [1, 1, 1], 1) is False  # machines are dealt already
-    assert may_fix_layout(3, [None], 1) is False
+    assert can_use_zone_layout(0, [1, 1, 1], 1) is True
+    assert can_use_zone_layout(0, [1, 0, 1], 1) is False  # an earlier release deals over all
+    assert can_use_zone_layout(0, [1, None, 1], 1) is None  # whoever takes that part may be one
+    assert can_use_zone_layout(3, [1, 1, 1], 1) is False  # machines are dealt already
+    assert can_use_zone_layout(3, [None], 1) is False
 
 
 class Cluster:
@@ -84,7 +84,7 @@
         if view.layout is not None:
             return
         versions = [h.node_version if (h := view.shard_holders.get(p)) else None for p in range(len(ZONES))]
-        within = may_fix_layout(len(view.machines), versions, NODE_VERSION)
+        within = can_use_zone_layout(len(view.machines), versions, NODE_VERSION)
         if within is not None and not any(key == "layout" for key, _ in self.log):
             self.put("layout", ShardLayoutRecord(ZONES if within else []))
 
