--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,6 +1,4 @@
-"""How machines are dealt to parts: within zones where a cluster was begun so, and never in two ways at
-once.
-"""
+"""Assignment of machines to shards: within zones if the cluster was started so, and equal on every node."""
 
 import asyncio
 from collections import Counter
@@ -23,70 +21,73 @@
 @given(
     st.lists(st.sampled_from("abc"), min_size=1, max_size=9), st.integers(0, 10**6), st.sampled_from("abcd")
 )
-def test_a_machine_belongs_to_one_part_of_its_zone_if_there_is_one(zones, number, zone):
+def test_a_machine_belongs_to_one_shard_of_its_zone_if_there_is_one(zones, number, zone):
     name = f"i-{number:06d}"
-    part = ShardLayout(len(zones), zones).shard_of(name, zone)
-    assert 0 <= part < len(zones)
-    assert zones[part] == zone or zone not in zones
+    shard_id = ShardLayout(len(zones), zones).shard_of(name, zone)
+    assert 0 <= shard_id < len(zones)
+    assert zones[shard_id] == zone or zone not in zones
     if zone not in zones or len(set(zones)) == 1:
-        assert part == shard_of(name, len(zones)) == ShardLayout(len(zones)).shard_of(name, zone)
+        assert shard_id == shard_of(name, len(zones)) == ShardLayout(len(zones)).shard_of(name, zone)
 
 
-def test_parts_of_a_zone_are_about_as_large():
+def test_shards_of_a_zone_get_about_the_same_number_of_machines():
     layout = ShardLayout(5, ZONES)
     north = Counter(layout.shard_of(f"i-{n:06d}", "north") for n in range(3000))
     assert set(north) == {0, 2, 4} and max(north.values()) < 1.2 * min(north.values())
 
 
-def test_the_layout_is_settled_once_nobody_could_know_another():
+def test_zone_layout_is_decided_once_all_holders_are_known_to_support_it():
     assert can_use_zone_layout(0, [1, 1, 1], 1) is True
-    assert can_use_zone_layout(0, [1, 0, 1], 1) is False  # an earlier release deals over all
-    assert can_use_zone_layout(0, [1, None, 1], 1) is None  # whoever takes that part may be one
-    assert can_use_zone_layout(3, [1, 1, 1], 1) is False  # machines are dealt already
+    assert can_use_zone_layout(0, [1, 0, 1], 1) is False  # an earlier release assigns over all shards
+    assert can_use_zone_layout(0, [1, None, 1], 1) is None  # the next holder of that shard may be one
+    assert can_use_zone_layout(3, [1, 1, 1], 1) is False  # machines are assigned already
     assert can_use_zone_layout(3, [None], 1) is False
 
 
 class Cluster:
-    """Nodes of this release and of an earlier one on the same records; each sees them with its own delay."""
+    """Nodes of this and an earlier release on the same records, which each node reads with its own delay."""
 
-    def __init__(self, old):
+    def __init__(self, old_nodes):
         self.log = []
-        self.old = old
-        self.views = [Replica() for _ in ZONES]
-        self.seen = [0] * len(ZONES)
-        self.workers = [
-            AgentGateway(None, view, {}, f"n{i}", len(ZONES), ZONES, lambda: 0, lambda: 0, lambda: None)
-            for i, view in enumerate(self.views)
+        self.old_nodes = old_nodes
+        self.replicas = [Replica() for _ in ZONES]
+        self.applied = [0] * len(ZONES)
+        self.gateways = [
+            AgentGateway(None, replica, {}, f"n{i}", len(ZONES), ZONES, lambda: 0, lambda: 0, lambda: None)
+            for i, replica in enumerate(self.replicas)
         ]
 
-    def put(self, key, rec):
-        self.log.append((key, msgspec.json.encode(rec)))
+    def put(self, key, record):
+        self.log.append((key, msgspec.json.encode(record)))
 
-    def follow(self, node, count):
-        for stamp in range(self.seen[node] + 1, min(self.seen[node] + count, len(self.log)) + 1):
-            key, raw = self.log[stamp - 1]
-            self.views[node].put(key, stamp, raw, 0)
-            self.seen[node] = stamp
+    def apply_changes(self, node, count):
+        for version in range(self.applied[node] + 1, min(self.applied[node] + count, len(self.log)) + 1):
+            key, raw = self.log[version - 1]
+            self.replicas[node].put(key, version, raw, 0)
+            self.applied[node] = version
 
-    def report(self, node, machine, zone):
-        """Where a node would take the machine in, if the part is its own."""
-        layout = ShardLayout(len(ZONES)) if node in self.old else self.workers[node].layout()
+    def record_machine(self, node, machine, zone):
+        """Record the machine if the shard that the node assigns it to is the node's own."""
+        layout = ShardLayout(len(ZONES)) if node in self.old_nodes else self.gateways[node].layout()
         if layout is None:
             return
-        part = layout.shard_of(machine, zone)
-        if part == node:
-            self.put(f"m/{part}/{machine}", MachineRecord("small", zone, False, "x"))
-
-    def settle(self, node):
-        """A pass of the leader, if it is of this release. It has read everything up to its own claim."""
-        self.follow(node, len(self.log))
-        view = self.views[node]
-        if view.layout is not None:
+        shard_id = layout.shard_of(machine, zone)
+        if shard_id == node:
+            self.put(f"m/{shard_id}/{machine}", MachineRecord("small", zone, False, "x"))
+
+    def decide_layout(self, node):
+        """Run a pass of the leader, if it is of this release; it has read all changes up to its own claim."""
+        self.apply_changes(node, len(self.log))
+        replica = self.replicas[node]
+        if replica.layout is not None:
             return
-        versions = [h.node_version if (h := view.shard_holders.get(p)) else None for p in range(len(ZONES))]
-        within = can_use_zone_layout(len(view.machines), versions, NODE_VERSION)
-        if within is not None and not any(key == "layout" for key, _ in self.log):
-            self.put("layout", ShardLayoutRecord(ZONES if within else []))
+        versions = [
+            holder.node_version if (holder := replica.shard_holders.get(p)) else None
+            for p in range(len(ZONES))
+        ]
+        within_zones = can_use_zone_layout(len(replica.machines), versions, NODE_VERSION)
+        if within_zones is not None and not any(key == "layout" for key, _ in self.log):
+            self.put("layout", ShardLayoutRecord(ZONES if within_zones else []))
 
 
 @given(
@@ -98,87 +99,92 @@
         max_size=120,
     ),
 )
-def test_no_machine_is_in_two_parts_whatever_each_node_knows(old, events):
-    cluster = Cluster(old)
-    leader = min(set(range(5)) - old)
+def test_no_machine_is_recorded_in_two_shards_whatever_changes_each_node_has_read(old_nodes, events):
+    cluster = Cluster(old_nodes)
+    leader = min(set(range(5)) - old_nodes)
     claimed = set()
-    for what, node, number in events:
-        if what == "claim" and node not in claimed:
+    for action, node, number in events:
+        if action == "claim" and node not in claimed:
             claimed.add(node)
-            cluster.put(f"part/{node}", LeaseHolderRecord(f"n{node}", 0 if node in old else NODE_VERSION))
-        elif what == "follow":
-            cluster.follow(node, 3)
-        elif what == "report" and node in claimed:
-            cluster.report(node, f"i-{number}", "north" if number % 2 else "south")
-        elif what == "settle" and leader in claimed:
-            cluster.settle(leader)
-    parts = {}
+            cluster.put(
+                f"part/{node}", LeaseHolderRecord(f"n{node}", 0 if node in old_nodes else NODE_VERSION)
+            )
+        elif action == "follow":
+            cluster.apply_changes(node, 3)
+        elif action == "report" and node in claimed:
+            cluster.record_machine(node, f"i-{number}", "north" if number % 2 else "south")
+        elif action == "settle" and leader in claimed:
+            cluster.decide_layout(leader)
+    shards_by_machine = {}
     for key, _ in cluster.log:
         if key.startswith("m/"):
-            _, part, name = key.split("/")
-            parts.setdefault(name, set()).add(part)
-    assert all(len(found) == 1 for found in parts.values())
-
-
-def test_workers_are_not_taken_in_before_the_layout_is_known():
-    view = Replica()
-    workers = AgentGateway(None, view, {}, "n0", 5, ZONES, lambda: 0, lambda: 0, lambda: None)
-    assert workers.layout() is None
-    # A cluster that was begun before there were layouts goes on as it was.
-    view.put("m/3/i-1", 1, msgspec.json.encode(MachineRecord("small", "north", False, "x")), 0)
-    assert workers.layout().zones == ()
-    view.put("layout", 2, msgspec.json.encode(ShardLayoutRecord(ZONES)), 0)
-    assert workers.layout().zones == tuple(ZONES)
-    # In one zone there is nothing to wait for.
+            _, shard_id, name = key.split("/")
+            shards_by_machine.setdefault(name, set()).add(shard_id)
+    assert all(len(shards) == 1 for shards in shards_by_machine.values())
+
+
+def test_gateway_has_no_layout_before_the_layout_is_decided():
+    replica = Replica()
+    gateway = AgentGateway(None, replica, {}, "n0", 5, ZONES, lambda: 0, lambda: 0, lambda: None)
+    assert gateway.layout() is None
+    # A cluster with machines but without a layout record keeps assigning machines over all shards.
+    replica.put("m/3/i-1", 1, msgspec.json.encode(MachineRecord("small", "north", False, "x")), 0)
+    assert gateway.layout().zones == ()
+    replica.put("layout", 2, msgspec.json.encode(ShardLayoutRecord(ZONES)), 0)
+    assert gateway.layout().zones == tuple(ZONES)
+    # With a single zone there is no layout to wait for.
     assert (
         AgentGateway(None, Replica(), {}, "n0", 3, [], lambda: 0, lambda: 0, lambda: None).layout().zones
         == ()
     )
 
 
-def test_the_leader_writes_it_once_and_only_when_certain():
-    view, written = Replica(), []
+def test_the_leader_writes_the_layout_once_and_only_when_it_is_certain():
+    replica, commits = Replica(), []
 
     async def commit(puts, conditions):
-        written.append((puts, conditions))
+        commits.append((puts, conditions))
 
     leading = SimpleNamespace(parts_within_zones=True)
-    chief = Leadership.__new__(Leadership)
-    chief.replica = view
-    chief.settings = SimpleNamespace(
+    leadership = Leadership.__new__(Leadership)
+    leadership.replica = replica
+    leadership.settings = SimpleNamespace(
         shard_zones=ZONES, shard_count=5, tuning=SimpleNamespace(leading=leading)
     )
-    chief.commit = commit
-
-    def settle():
-        asyncio.run(chief.fix_shard_layout())
-        return written[-1:] and written.pop()
-
-    for part in range(4):
-        view.put(
-            f"part/{part}", part + 1, msgspec.json.encode(LeaseHolderRecord(f"n{part}", NODE_VERSION)), 0
+    leadership.commit = commit
+
+    def decide_layout():
+        asyncio.run(leadership.fix_shard_layout())
+        return commits[-1:] and commits.pop()
+
+    for shard_id in range(4):
+        replica.put(
+            f"part/{shard_id}",
+            shard_id + 1,
+            msgspec.json.encode(LeaseHolderRecord(f"n{shard_id}", NODE_VERSION)),
+            0,
         )
-    assert not settle()
-    view.put("part/4", 9, msgspec.json.encode(LeaseHolderRecord("", NODE_VERSION)), 0)
-    assert not settle()  # given up: whoever takes it is not known
-    view.put("part/4", 10, msgspec.json.encode(LeaseHolderRecord("n4", NODE_VERSION)), 0)
-    assert settle() == ({"layout": ShardLayoutRecord(ZONES)}, {"layout": 0})
+    assert not decide_layout()
+    replica.put("part/4", 9, msgspec.json.encode(LeaseHolderRecord("", NODE_VERSION)), 0)
+    assert not decide_layout()  # given up: its next holder is unknown
+    replica.put("part/4", 10, msgspec.json.encode(LeaseHolderRecord("n4", NODE_VERSION)), 0)
+    assert decide_layout() == ({"layout": ShardLayoutRecord(ZONES)}, {"layout": 0})
     leading.parts_within_zones = False
-    assert settle() == ({"layout": ShardLayoutRecord([])}, {"layout": 0})
-    view.put("layout", 11, msgspec.json.encode(ShardLayoutRecord(ZONES)), 0)
-    assert not settle()
+    assert decide_layout() == ({"layout": ShardLayoutRecord([])}, {"layout": 0})
+    replica.put("layout", 11, msgspec.json.encode(ShardLayoutRecord(ZONES)), 0)
+    assert not decide_layout()
 
 
-def test_a_part_is_left_to_a_node_of_its_zone_as_long_as_there_is_one():
-    view = Replica()
+def test_claiming_a_shard_waits_for_a_node_of_its_zone_while_there_is_one():
+    replica = Replica()
     claimer = LeaseClaimer.__new__(LeaseClaimer)
-    claimer._replica = view
+    claimer._replica = replica
     nodes = [f"n{i}" for i in range(5)]
     bounds = SimpleNamespace(cross_zone_takeover_us=3_000_000)
     claimer._settings = SimpleNamespace(shard_zones=ZONES, nodes=nodes, home_shard=0, timeouts=bounds)
-    view.put("part/1", 1, msgspec.json.encode(LeaseHolderRecord("n1", NODE_VERSION)), 0)
+    replica.put("part/1", 1, msgspec.json.encode(LeaseHolderRecord("n1", NODE_VERSION)), 0)
     assert claimer._cross_zone_patience_us(3) == 3_000_000 and claimer._cross_zone_patience_us(2) == 0
-    view.put("part/1", 2, msgspec.json.encode(LeaseHolderRecord("n4", NODE_VERSION)), 0)
-    assert claimer._cross_zone_patience_us(3) == 0  # nobody of the south is left
+    replica.put("part/1", 2, msgspec.json.encode(LeaseHolderRecord("n4", NODE_VERSION)), 0)
+    assert claimer._cross_zone_patience_us(3) == 0  # no node of the zone south is left
     claimer._settings.shard_zones = []
     assert claimer._cross_zone_patience_us(3) == 0
