--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -31,12 +31,12 @@
 from pearstep.state.replica import Replica
 from pearstep.state.transactions import TransactionLimits
 from pearstep.transport.kv_client import CommitOutcome, CommitResult
-from tests.test_formats import GOOD
+from tests.test_formats import SUBMISSION
 from tests.world import TYPES, spec
 
 DAY_US = 10**12
 PARTS = 2
-JOB = {**GOOD, "shape": "batch", "parcels": 2, "breeds": None, "holder": "t", "memoryGb": 8.0}
+JOB = {**SUBMISSION, "shape": "batch", "parcels": 2, "breeds": None, "holder": "t", "memoryGb": 8.0}
 
 
 class World:
--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -37,12 +37,12 @@
 from pearstep.transport.clock import now_us
 from pearstep.transport.kv_client import CommitOutcome, KeyValueStore
 from pearstep.transport.rate_limiter import RateLimiter
-from tests.test_formats import GOOD, TOML
+from tests.test_formats import SUBMISSION, TOML
 from tests.world import TYPES, Ledger, World, spec
 
 MACHINES = 200
 TEAM = Team("t")
-JOB = {**GOOD, "shape": "batch", "parcels": 1, "breeds": None, "holder": "t", "memoryGb": 8.0}
+JOB = {**SUBMISSION, "shape": "batch", "parcels": 1, "breeds": None, "holder": "t", "memoryGb": 8.0}
 # Without an end, as the code was before, a test fails after so long.
 PATIENCE_S = 5.0
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -15,10 +15,10 @@
 from pearstep.transport.http import Client, Server
 from pearstep.transport.kv_client import KeyValueStore
 from pearstep.transport.rate_limiter import RateLimiter
-from tests.test_formats import GOOD
+from tests.test_formats import SUBMISSION
 from tests.world import TYPES, Ledger
 
-JOB = {**GOOD, "shape": "batch", "parcels": 2, "breeds": None, "holder": "t", "memoryGb": 8.0}
+JOB = {**SUBMISSION, "shape": "batch", "parcels": 2, "breeds": None, "holder": "t", "memoryGb": 8.0}
 LIMITS = TransactionLimits(operations=12, conditions=48, value_bytes=2048)
 
 
