--- a/pearstep/scheduling/adaptive_delay.py
+++ b/pearstep/scheduling/adaptive_delay.py
@@ -1,4 +1,4 @@
-"""The adaptive delay of extra-long jobs (paper, section 4.2)."""
+"""Adaptive delay of extra-long jobs (paper, section 4.2)."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class AdaptiveDelay:
-    """Lengthen or shorten the delay by the slowdown of short jobs, measured in batches.
+    """Adjusts the delay of extra-long jobs to the mean slowdown of short jobs, batch by batch.
 
-    The first batch only records (the paper sets the first change to the first batch's slowdown,
-    which would always lengthen the delay).
+    The first batch changes nothing and only sets the mean to compare with. The paper uses the first
+    batch's slowdown as the first change, which would always lengthen the delay.
 
     Attributes:
         delay_us: How long an extra-long job waits while shorter jobs are waiting.
@@ -21,8 +21,8 @@
 
         Args:
             initial_us: The first delay, and the unit in which it changes.
-            batch_size: Completions after which the delay is decided anew.
-            threshold: The relative change of the mean slowdown up to which the delay stays.
+            batch_size: The number of completed jobs after which the delay is adjusted.
+            threshold: The relative change of the mean slowdown that must be exceeded to change the delay.
         """
         self.initial_us = initial_us
         self.batch_size = batch_size
@@ -33,13 +33,13 @@
         self.slowdown_sum = 0.0
         self.previous_mean: float | None = None
 
-    def completed(self, short: bool, wait_us: int, run_us: int) -> None:
-        """Count a completed job.
+    def record_completion(self, short: bool, wait_us: int, run_us: int) -> None:
+        """Record a completed job.
 
         Args:
-            short: Whether the job is short; only short jobs enter the mean.
+            short: Whether the job is short; only short jobs count towards the mean.
             wait_us: How long it waited.
-            run_us: How long it ran, floored at one second.
+            run_us: How long it ran; less than one second counts as one second.
         """
         self.completions += 1
         if short:
--- a/pearstep/scheduling/backfill.py
+++ b/pearstep/scheduling/backfill.py
@@ -1,11 +1,11 @@
 """Multiple-queue aggressive backfilling (paper, section 3.2 and figure 4), over machines.
 
 Work waits in four queues by estimated run time, each with a partition of the machines. The *pivot* of a
-queue (the paper's word) is its first job if that cannot start now: it gets a start time, and resources
-are reserved for it from then on certain machines. Work behind a pivot is *backfilled*: it starts now if
-it ends before the pivot's start or fits beside its reservation, so that it delays no pivot. Partitions
-lend: a queue takes machines of another one where that delays no pivot, and an idle machine that is
-taken changes partition.
+queue (the paper's term) is its first job, if that job cannot start now. A pivot gets a start time and a
+reservation on certain machines from that time. Work behind a pivot is *backfilled*: it starts now if it
+ends before the pivot's start or fits beside the reservation, so it delays no pivot. A queue may also use
+machines of another queue's partition if that delays no pivot; an idle machine used this way moves to the
+partition of the queue that uses it.
 """
 
 from __future__ import annotations
@@ -26,35 +26,35 @@
 
 @dataclass(slots=True, eq=False)
 class PlannedStart:
-    """A decision: these tasks start now on these machines."""
+    """Tasks that are to start now, each with its machine."""
 
     work: QueuedWork
     assignments: list[tuple[int, Candidate]]
 
 
 class PivotKey(NamedTuple):
-    """What identifies a pivot from pass to pass: its job and the first task that waits."""
+    """Identifies a pivot across passes: its job and the first of its waiting tasks."""
 
     job_id: str
     first_task: int
 
 
 class BackfillScheduler:
-    """Schedules passes, with what it remembers between them: partitions and the order of pivots.
+    """Runs scheduling passes and keeps the state between them: partitions and the order of pivots.
 
     Attributes:
         partitions: The queue whose partition each machine is in.
-        pivots: By queue the pivot's job and start time, as of the last pass.
-        pivot_order: Pivots in the order in which they became pivots. One that has its time already goes
-            before a new pivot of another queue, even if that arrived earlier.
+        pivots: The job and the start time of each queue's pivot, as of the last pass.
+        pivot_order: Pivots in the order in which they became pivots. A pivot that already has a start
+            time precedes a new pivot of another queue, even if the new one was submitted earlier.
         blocked: Work that could not start in the last pass.
     """
 
     def __init__(self, bounds_us: list[int]) -> None:
-        """Start without machines.
+        """Create a scheduler without machines.
 
         Args:
-            bounds_us: The longest estimate in each queue but the last.
+            bounds_us: The longest estimated run time of each queue except the last.
         """
         self.bounds_us = bounds_us
         self.partitions: dict[str, int] = {}
@@ -64,7 +64,7 @@
         self._next_partition = 0
 
     def queue_of(self, spec: JobSpec) -> int:
-        """Return the queue of a job by its user's estimate; services join the longest."""
+        """Return the queue of a job by its estimated run time; services go to the last queue."""
         if spec.kind == "service":
             return QUEUE_COUNT - 1
         for queue, bound_us in enumerate(self.bounds_us):
@@ -80,22 +80,22 @@
         return self.partitions[machine_name]
 
     def forget(self, machine_name: str) -> None:
-        """Drop a machine that is gone."""
+        """Remove a machine that no longer exists."""
         self.partitions.pop(machine_name, None)
 
     def scheduling_pass(
         self, now_us: int, candidates: list[Candidate], waiting: Iterable[QueuedWork], delay_us: int = 0
     ) -> list[PlannedStart]:
-        """Start what can start; called at each arrival and completion.
+        """Plan the tasks that start now; called at each arrival and completion.
 
         Args:
             now_us: The time of the pass.
-            candidates: The machines; planned starts and reservations are entered into them.
-            waiting: What waits; started tasks are removed from it.
-            delay_us: How long an extra-long job waits while shorter jobs wait.
+            candidates: The machines; planned starts and reservations are recorded in them.
+            waiting: The waiting work; tasks that start are removed from it.
+            delay_us: How long an extra-long job is held back while shorter jobs wait.
 
         Returns:
-            What to start, in the order of the decisions.
+            The planned starts, in the order of the decisions.
         """
         queues = _eligible_queues(waiting, now_us, delay_us)
         scheduling = _SchedulingPass(now_us, candidates, self.partitions, self.pivot_order)
@@ -108,12 +108,12 @@
 
 
 def _eligible_queues(waiting: Iterable[QueuedWork], now_us: int, delay_us: int) -> list[list[QueuedWork]]:
-    """Return the queues of what may start now, each in order."""
+    """Return the work that may start now, by queue and in scheduling order."""
     queues: list[list[QueuedWork]] = [[] for _ in range(QUEUE_COUNT)]
     for work in sorted(waiting, key=lambda w: w.sort_key):
         if work.retry_at_us <= now_us:
             queues[work.queue].append(work)
-    # An extra-long job waits its delay only while shorter jobs wait; services do not wait.
+    # Extra-long jobs are held back only while shorter jobs wait; services are never held back.
     if any(queues[:-1]):
         queues[-1] = [
             work
@@ -124,33 +124,33 @@
 
 
 class _HeadOutcome(Enum):
-    """What became of the first job of a queue."""
+    """Result of the attempt to start the first job of a queue."""
 
     STARTED = auto()
-    # The first task of an array; the next one lines up behind the heads of the other queues.
+    # Only the first task of an array started; the next task competes again with the other queues' heads.
     PARTLY_STARTED = auto()
-    # It became the queue's pivot.
+    # The job is now the pivot of its queue.
     RESERVED = auto()
-    # It fits nowhere here, now or later: the leader finds another shard for it or rents machines. It is
-    # no pivot, for nothing could delay it, and the next job takes its place.
+    # The job can never fit on this shard's machines: the leader finds another shard or rents machines. It
+    # does not become a pivot, because no other job can delay it, and the next job becomes the head.
     UNPLACEABLE = auto()
 
 
 class _SchedulingPass:
-    """One pass over the queues; the results are in its attributes."""
+    """One pass over the queues; the results are stored in the attributes."""
 
     def __init__(
         self,
         now_us: int,
         candidates: list[Candidate],
         partitions: dict[str, int],
-        standing_pivots: list[PivotKey],
+        previous_pivots: list[PivotKey],
     ) -> None:
-        """Begin a pass; ``standing_pivots`` are those of the pass before, in order."""
+        """Begin a pass; ``previous_pivots`` are the pivots of the previous pass, in order."""
         self.now_us = now_us
         self.candidates = candidates
         self.partitions = partitions
-        self.standing_pivots = standing_pivots
+        self.previous_pivots = previous_pivots
         self.capacity: CapacityIndex[Candidate, str] = CapacityIndex(
             candidates, lambda c: c.zone, lambda c: c.free
         )
@@ -163,46 +163,48 @@
         """Start the heads of all queues in turn, until each queue is empty or has its pivot.
 
         Returns:
-            What waits behind the pivots, in order.
+            The work that waits behind the pivots, in order.
         """
-        # A job that fits nowhere may stand before a queue's pivot without being one.
+        # An unplaceable job may precede its queue's pivot, so the rank is the minimum over the queue.
         heads = [(min(self._rank(w) for w in works), queue) for queue, works in enumerate(queues) if works]
         heapq.heapify(heads)
         positions = [0] * QUEUE_COUNT
         while heads:
             _, queue = heapq.heappop(heads)
-            outcome = self._try_head(queues[queue][positions[queue]], others_wait=bool(heads))
+            outcome = self._start_or_reserve_head(
+                queues[queue][positions[queue]], other_heads_waiting=bool(heads)
+            )
             if outcome is _HeadOutcome.RESERVED:
                 continue
             if outcome is not _HeadOutcome.PARTLY_STARTED:
                 positions[queue] += 1
             if positions[queue] < len(queues[queue]):
                 heapq.heappush(heads, (self._rank(queues[queue][positions[queue]]), queue))
-        behind = [w for queue, works in enumerate(queues) for w in works[positions[queue] + 1 :]]
-        return sorted(behind, key=lambda w: w.sort_key)
+        behind_pivots = [w for queue, works in enumerate(queues) for w in works[positions[queue] + 1 :]]
+        return sorted(behind_pivots, key=lambda w: w.sort_key)
 
     def backfill(self, behind_pivots: list[QueuedWork]) -> None:
-        """Start what can start without a delay of any pivot."""
+        """Start the work that can start without delaying any pivot."""
         for work in behind_pivots:
             if not self._start_tasks(work):
                 self.blocked.append(work)
 
     def _rank(self, work: QueuedWork) -> tuple[int, SortKey]:
-        """Return the rank among the heads: standing pivots first, in their order."""
+        """Return the rank among the heads: pivots of the previous pass first, in their order."""
         key = PivotKey(work.spec.job_id, work.tasks[0])
-        standing = self.standing_pivots
-        return (standing.index(key) if key in standing else len(standing), work.sort_key)
+        previous_order = self.previous_pivots
+        return (previous_order.index(key) if key in previous_order else len(previous_order), work.sort_key)
 
-    def _try_head(self, work: QueuedWork, *, others_wait: bool) -> _HeadOutcome:
+    def _start_or_reserve_head(self, work: QueuedWork, *, other_heads_waiting: bool) -> _HeadOutcome:
         """Start the first job of a queue, or make it the queue's pivot."""
         first_task = work.tasks[0]
-        # Of an array only the first task is the pivot while heads of other queues wait.
-        if self._start_tasks(work, 1 if others_wait else None):
+        # While heads of other queues wait, only the first task of an array is tried and may become the pivot.
+        if self._start_tasks(work, 1 if other_heads_waiting else None):
             return _HeadOutcome.STARTED
-        if work.tasks[0] != first_task and others_wait:
+        if work.tasks[0] != first_task and other_heads_waiting:
             return _HeadOutcome.PARTLY_STARTED
         pivot_us = reserve_earliest(
-            work.spec, work.tasks_together, self._open_to(work), self.now_us, work.run_us, work.zone
+            work.spec, work.tasks_together, self._allowed_machines(work), self.now_us, work.run_us, work.zone
         )
         self.blocked.append(work)
         if pivot_us is None:
@@ -211,19 +213,19 @@
         self.pivot_order.append(PivotKey(work.spec.job_id, work.tasks[0]))
         return _HeadOutcome.RESERVED
 
-    def _open_to(self, work: QueuedWork) -> list[Candidate]:
-        """Return the machines that the work does not avoid."""
+    def _allowed_machines(self, work: QueuedWork) -> list[Candidate]:
+        """Return the machines that the work may use, without those that it avoids."""
         if not work.avoided_machines:
             return self.candidates
         return [c for c in self.candidates if c.name not in work.avoided_machines]
 
     def _start_tasks(self, work: QueuedWork, limit: int | None = None) -> bool:
-        """Start as many tasks as can start now, or gangs and tasks up to the limit.
+        """Start as many tasks as fit now, up to ``limit`` single tasks or gangs.
 
         Returns:
-            Whether nothing of the work is left.
+            Whether all tasks of the work have started.
         """
-        candidates = self._open_to(work)
+        candidates = self._allowed_machines(work)
         started = 0
         last: Candidate | None = None
         while work.tasks:
@@ -236,24 +238,24 @@
             chosen = self._choose(work, count, candidates, last)
             if chosen is None:
                 return False
-            self._start_on(work, chosen)
+            self._plan_start(work, chosen)
             last = chosen[0]
         return True
 
     def _choose(
         self, work: QueuedWork, count: int, candidates: list[Candidate], last: Candidate | None
     ) -> list[Candidate] | None:
-        """Choose machines; ``last`` is the machine of the array's task that started last."""
+        """Choose machines; ``last`` is the machine on which the previous task of this work started."""
         spec = work.spec
         if last is not None:
             end_us = self.now_us + work.run_us + last.fetch_us(spec)
-            # What suited the array's last task best suits the next one better still.
+            # The best machine for the previous task has an even lower cost for the next one.
             if last.fits_now(spec, self.now_us, end_us):
                 return [last]
         return choose_machines(work, count, candidates, self.now_us)
 
-    def _start_on(self, work: QueuedWork, chosen: list[Candidate]) -> None:
-        """Plan the start of the first tasks on the machines, one each."""
+    def _plan_start(self, work: QueuedWork, chosen: list[Candidate]) -> None:
+        """Plan the start of the first waiting tasks, one on each of the machines."""
         spec = work.spec
         for candidate in chosen:
             if not candidate.expected_ends:
@@ -266,9 +268,9 @@
         work.tasks = work.tasks[count:]
 
     def _may_fit(self, work: QueuedWork, count: int) -> bool:
-        """Tell whether enough is free at all, whatever is reserved for pivots.
+        """Tell whether enough resources are free, without regard to reservations.
 
-        Most jobs that wait find nothing, and that is seen without a look at every machine.
+        This check is cheap and rejects most waiting jobs without examining every machine.
         """
         counts = self.capacity.by_group(work.spec)
         if work.zone is not None:
--- a/pearstep/shard/attempt_completion.py
+++ b/pearstep/shard/attempt_completion.py
@@ -89,4 +89,4 @@
         job = state.replica.jobs.get(spec.job_id)
         waited_us = attempt.placed_wall_us - job.submitted_at_us if job else 0
         in_first_queue = state.backfill.queue_of(spec) == 0
-        state.delay.completed(in_first_queue, waited_us, now_us - started_at_us)
+        state.delay.record_completion(in_first_queue, waited_us, now_us - started_at_us)
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -224,13 +224,13 @@
 def test_delay_follows_the_papers_steps_but_the_first_batch_only_records():
     delay = AdaptiveDelay(20 * SECOND_US, 2, 0.25)
     for wait in (0, 0):  # mean slowdown 1
-        delay.completed(True, wait * SECOND_US, 10 * SECOND_US)
+        delay.record_completion(True, wait * SECOND_US, 10 * SECOND_US)
     assert delay.delay_us == 20 * SECOND_US
     for wait in (10, 10):  # mean 2: change (2-1)/2
-        delay.completed(True, wait * SECOND_US, 10 * SECOND_US)
+        delay.record_completion(True, wait * SECOND_US, 10 * SECOND_US)
     assert delay.delay_us == 30 * SECOND_US
     for wait in (11, 11):  # within the threshold
-        delay.completed(True, wait * SECOND_US, 10 * SECOND_US)
+        delay.record_completion(True, wait * SECOND_US, 10 * SECOND_US)
     assert delay.delay_us == 30 * SECOND_US
 
 
@@ -238,8 +238,8 @@
 def test_delay_is_never_negative_and_a_run_of_no_length_counts_as_a_second(completions):
     delay = AdaptiveDelay(20 * SECOND_US, 5, 0.25)
     for short, wait, run in completions:
-        delay.completed(short, wait, run)
+        delay.record_completion(short, wait, run)
         assert delay.delay_us >= 0
     calm = AdaptiveDelay(20 * SECOND_US, 1, 0.25)
-    calm.completed(True, SECOND_US, 0)
+    calm.record_completion(True, SECOND_US, 0)
     assert calm.previous_mean == 2.0
