--- a/pearstep/scheduling/capacity.py
+++ b/pearstep/scheduling/capacity.py
@@ -1,8 +1,8 @@
-"""How many tasks of a job fit on groups of machines, counted once and kept up to date.
+"""Index of how many tasks of a job fit on groups of machines.
 
-Planning asks this for every job that waits, against every machine. With hundreds of both that is the
-bulk of a controller's work, so the count is made once for all jobs of the same shape and corrected
-where free resources have been used up since.
+Planning needs this count for every waiting job against every machine. With hundreds of both, counting is
+most of a controller's work. So the count is made once for all jobs with the same resource shape, and only
+machines whose free resources have changed are counted again.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.domain.resources import RESOURCE_EPSILON, FreeResources
 
-# Tasks that are counted on one machine at the most.
+# The largest number of tasks counted on one machine.
 COUNT_LIMIT = 100_000
 
 
 class CapacityMachine(Protocol):
-    """A machine as planning sees it."""
+    """The properties of a machine that planning uses."""
 
     name: str
 
@@ -29,14 +29,14 @@
 Machine = TypeVar("Machine", bound=CapacityMachine)
 Group = TypeVar("Group", bound=Hashable)
 
-# CPUs, accelerators, memory (GB), machine types, zone, and whether spot instances may be used. A plain
-# tuple, as it is an opaque dictionary key: nobody reads its items, it is built anew for each lookup
-# (several a machine and pass), and a lookup with a NamedTuple takes more than twice as long.
+# CPUs, accelerators, memory (GB), machine types, zone, and whether spot instances may be used. It is a plain
+# tuple because it is only used as a dictionary key and is built for each lookup, several times per machine
+# and pass; a lookup with a NamedTuple takes more than twice as long.
 ResourceShape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool]
 
 
 def resource_shape(spec: JobSpec) -> ResourceShape:
-    """Return what decides where a task fits; jobs that agree in it fit alike."""
+    """Return the properties that decide where a task fits; jobs of equal shape fit equally."""
     return (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
 
 
@@ -57,12 +57,12 @@
         group: Callable[[Machine], Group],
         free_resources: Callable[[Machine], FreeResources],
     ) -> None:
-        """Index the machines; nothing is counted before it is asked for.
+        """Create the index; the tasks of a shape are counted at its first query.
 
         Args:
             machines: The machines to count on.
             group: Returns the group of a machine, for example its zone.
-            free_resources: Returns what counts as free on a machine.
+            free_resources: Returns the resources of a machine that count as free.
         """
         self._machines = list(machines)
         self._group = group
