--- a/pearstep/scheduling/placement.py
+++ b/pearstep/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Where tasks fit: types, zones, kinds of machine, images, and resources reserved for others."""
+"""Choice of machines for tasks by type, zone, free resources, reservations and cached images."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.scheduling.queued_work import QueuedWork
 
-# What it is worth to keep accelerators free of work that needs none, unless the caller sets it.
+# Default cost of placing a task that needs no accelerator on a machine that has some.
 DEFAULT_ACCELERATOR_PENALTY_US = 4 * SECOND_US
-# How many CPUs an accelerator counts for in the comparison of free resources.
+# The number of CPUs that one accelerator counts as when free resources are compared.
 CPUS_PER_ACCELERATOR = 8
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """Resources kept on a machine for a pivot, while it is expected to run."""
+    """Resources reserved on a machine for the expected run time of a pivot."""
 
     from_us: int
     until_us: int
@@ -28,7 +28,7 @@
     count: int
 
 
-# One is made for each machine and pass: slots, and compared by identity as a dictionary key.
+# Created for each machine and pass: slots save memory; compared by identity, so usable as a dictionary key.
 @dataclass(slots=True, eq=False)
 class Candidate:
     """A machine as a scheduling pass sees it.
@@ -38,13 +38,13 @@
         machine_type: Its type.
         zone: Its zone.
         spot: Whether it is a spot instance.
-        free: Its free resources now; planning changes them.
+        free: Its free resources now; planned starts are subtracted.
         images: The images that it has cached.
         partition: The queue whose partition it is in.
-        expected_ends: What runs on it: when each task is expected to end, and its job.
-        reservations: What is kept for pivots.
-        fetching: Images that it is fetching; fetches share the machine's rate.
-        accelerator_penalty_us: What it is worth to keep accelerators free of work that needs none.
+        expected_ends: The expected end and the job of each task that runs on it.
+        reservations: Its reservations for pivots.
+        fetching: Images that it is fetching; concurrent fetches share the machine's fetch rate.
+        accelerator_penalty_us: The cost of using a machine with accelerators for work that needs none.
     """
 
     name: str
@@ -70,10 +70,10 @@
         )
 
     def free_at(self, at_us: int, run_us: int) -> FreeResources:
-        """Return the free resources for something that begins then and runs that long.
+        """Return the resources that are free for a task that starts at ``at_us`` and runs for ``run_us``.
 
-        What ends by then has ended; what is reserved for others at any time while it runs is not free.
-        The caller must not change the result.
+        Tasks expected to end by the start are counted as ended. Reservations that overlap the run are not
+        free. The caller must not change the result.
         """
         ended = [spec for end_us, spec in self.expected_ends if end_us <= at_us]
         if not ended and not self.reservations:
@@ -87,7 +87,7 @@
         return free
 
     def fits_now(self, spec: JobSpec, now_us: int, end_us: int) -> bool:
-        """Tell whether one task fits now, until ``end_us``, and leaves every pivot its reservation."""
+        """Tell whether one task fits from now to ``end_us`` without using any pivot's reservation."""
         if not self.free.fits(spec):
             return False
         for reservation in self.reservations:
@@ -97,7 +97,7 @@
         return True
 
     def _free_beside_reservations(self, at_us: int) -> FreeResources:
-        """Return what is free at that instant beside what runs and what is reserved then."""
+        """Return what is free at that time, without the tasks that still run and the reservations."""
         free = self.free.copy()
         for end_us, spec in self.expected_ends:
             if end_us <= at_us:
@@ -108,39 +108,39 @@
         return free
 
     def start(self, spec: JobSpec, end_us: int) -> None:
-        """Allocate resources to a task that is expected to end then."""
+        """Allocate resources to a task that is expected to end at ``end_us``."""
         self.free.allocate(spec)
         self.expected_ends.append((end_us, spec))
         if spec.image not in self.images:
             self.fetching.add(spec.image)
 
-    def undo(self, spec: JobSpec, end_us: int) -> None:
-        """Take back a planned start."""
+    def revert_start(self, spec: JobSpec, end_us: int) -> None:
+        """Revert a planned start."""
         self.free.allocate(spec, -1)
         self.expected_ends.remove((end_us, spec))
         if not any(other.image == spec.image for _, other in self.expected_ends):
             self.fetching.discard(spec.image)
 
     def fetch_us(self, spec: JobSpec) -> int:
-        """Return how long the image fetch takes here, at the nominal rate, which all fetches share."""
+        """Return how long the image fetch takes here; the nominal rate is shared by all fetches."""
         if spec.image in self.images or self.machine_type.fetch_gb_per_s <= 0:
             return 0
         others = len(self.fetching - {spec.image})
         return int(spec.image_gb / self.machine_type.fetch_gb_per_s * SECOND_US) * (1 + others)
 
     def cost(self, spec: JobSpec, queue: int, urgent: bool = True) -> tuple[float, ...]:
-        """Return how little this machine suits the task; the candidate with the lowest cost is taken.
+        """Return the cost of placing the task here; the candidate with the lowest cost is chosen.
 
-        Where a class is to start soon the image fetch counts first. Machines with accelerators are
-        avoided by jobs that need none, at the cost of a few seconds' fetch. Then the queue's own
-        partition goes first, then the tightest fit. Where only the end counts the tightest fit goes
-        first, so that machines fall idle and can be returned.
+        For urgent work the order is: the time of the image fetch, plus a penalty of a few seconds if the
+        machine has accelerators that the job does not need; the queue's own partition; the tightest fit.
+        Other work prefers the tightest fit to partition and fetch, so that machines become idle and can be
+        returned.
         """
         penalty_us = self.accelerator_penalty_us if self.machine_type.gpus and not spec.gpus else 0
         if not urgent:
             return (
                 float(penalty_us),
-                # Spot instances first: some of what waits may not use them.
+                # Spot instances first, because some of the waiting work may not use them.
                 0.0 if self.spot else 1.0,
                 self.free.cpus + CPUS_PER_ACCELERATOR * self.free.gpus,
                 0.0 if self.partition == queue else 1.0,
@@ -154,7 +154,7 @@
 
 
 def max_tasks_per_zone(spec: JobSpec) -> int:
-    """Return how many tasks of the job may be in one zone."""
+    """Return the largest number of tasks of the job that may be in one zone."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
@@ -163,7 +163,8 @@
 ) -> list[Candidate] | None:
     """Choose machines for ``count`` tasks that start together now.
 
-    A gang that must stay in one zone tries each; one that must spread fills no zone beyond its limit.
+    For a job that must stay in one zone, each zone is tried. A job that must spread never exceeds the
+    limit per zone.
 
     Returns:
         A machine for each task; None if the tasks don't all fit.
@@ -189,7 +190,7 @@
 
 
 def _cheapest_machine(work: QueuedWork, eligible: list[Candidate], now_us: int) -> Candidate | None:
-    """Return the machine of the lowest cost for one task; None if reservations leave none."""
+    """Return the machine with the lowest cost for one task; None if reservations exclude all."""
     spec = work.spec
     best: Candidate | None = None
     best_cost: tuple[float, ...] = ()
@@ -207,7 +208,7 @@
 ) -> list[Candidate] | None:
     """Choose machines for ``count`` tasks, the lowest cost first; None if they don't all fit.
 
-    Each start is planned on its candidate, as it changes what fits next, and undone at the end.
+    Each start is planned on its candidate, because it changes what fits next, and reverted at the end.
     """
     spec = work.spec
     starts: list[tuple[Candidate, int]] = []
@@ -227,12 +228,12 @@
         if len(starts) == count:
             break
     for candidate, end_us in starts:
-        candidate.undo(spec, end_us)
+        candidate.revert_start(spec, end_us)
     return [candidate for candidate, _ in starts] if len(starts) == count else None
 
 
 class _TaskCount(NamedTuple):
-    """How many tasks of a job go to one machine."""
+    """The number of tasks of a job on one machine."""
 
     candidate: Candidate
     tasks: int
@@ -244,7 +245,7 @@
     """Reserve resources for ``count`` tasks at the earliest time at which they fit together.
 
     Returns:
-        The time; None if they never fit on these machines, however long one waits.
+        The start time; None if the tasks do not fit together even on the empty machines.
     """
     eligible = [c for c in candidates if c.allows(spec, zone)]
     if not _fits_when_empty(spec, count, eligible):
@@ -258,7 +259,7 @@
             key = _zone_key(spec, candidate)
             totals[key] = totals.get(key, 0) + fitting - counts[candidate]
             counts[candidate] = fitting
-        if not _enough(spec, count, totals):
+        if not _enough_capacity(spec, count, totals):
             continue
         plan = _plan_at(spec, count, eligible, at_us, run_us)
         if plan is not None:
@@ -269,18 +270,20 @@
 
 
 def _fits_when_empty(spec: JobSpec, count: int, eligible: list[Candidate]) -> bool:
-    """Tell whether the tasks would fit together if nothing else were on the machines."""
+    """Tell whether the tasks would fit together on the empty machines."""
     by_type = {
         c.machine_type.name: total_resources(c.machine_type).count_fitting(spec, count) for c in eligible
     }
-    return _enough(spec, count, _totals_by_zone(spec, ((c, by_type[c.machine_type.name]) for c in eligible)))
+    return _enough_capacity(
+        spec, count, _totals_by_zone(spec, ((c, by_type[c.machine_type.name]) for c in eligible))
+    )
 
 
 def _change_times(eligible: list[Candidate], now_us: int, run_us: int) -> dict[int, set[Candidate]]:
-    """Return when the free resources change, with the machines on which they do.
+    """Return the times at which free resources change, each with the machines on which they change.
 
-    From one time to the next only those machines can hold more or less on which something ends, or
-    a reservation begins or ceases to be in the way.
+    The free resources of a machine for a run of ``run_us`` change only where a task ends, a reservation
+    ends, or a reservation starts to overlap the run.
     """
     changes: dict[int, set[Candidate]] = {now_us: set()}
     for candidate in eligible:
@@ -296,23 +299,23 @@
 def _plan_at(
     spec: JobSpec, count: int, eligible: list[Candidate], at_us: int, run_us: int
 ) -> list[_TaskCount] | None:
-    """Return which machines could hold ``count`` tasks at that time, with how many on each."""
+    """Return machines that can hold ``count`` tasks from that time, with the number on each."""
     by_zone: dict[str | None, list[_TaskCount]] = {}
     for candidate in eligible:
         fitting = candidate.free_at(at_us, run_us).count_fitting(spec, count)
         if fitting:
             zone = candidate.zone if spec.one_zone else None
             by_zone.setdefault(zone, []).append(_TaskCount(candidate, fitting))
-    largest_first = sorted(by_zone.values(), key=lambda found: -sum(fitting for _, fitting in found))
-    for found in largest_first:
-        plan = _distribute(spec, count, found)
+    largest_first = sorted(by_zone.values(), key=lambda group: -sum(fitting for _, fitting in group))
+    for group in largest_first:
+        plan = _distribute(spec, count, group)
         if plan is not None:
             return plan
     return None
 
 
 def _distribute(spec: JobSpec, count: int, available: list[_TaskCount]) -> list[_TaskCount] | None:
-    """Distribute the tasks over as few machines as possible, those without accelerators first."""
+    """Distribute the tasks over few machines: those without unneeded accelerators, then the largest."""
     plan: list[_TaskCount] = []
     tasks_by_zone: dict[str, int] = {}
     zone_limit = max_tasks_per_zone(spec)
@@ -342,8 +345,8 @@
     return totals
 
 
-def _enough(spec: JobSpec, count: int, totals: dict[str, int]) -> bool:
-    """Tell whether that many by zone are enough for tasks that run together."""
+def _enough_capacity(spec: JobSpec, count: int, totals: dict[str, int]) -> bool:
+    """Tell whether the capacities by zone suffice for ``count`` tasks that run together."""
     if spec.one_zone:
         return max(totals.values(), default=0) >= count
     zone_limit = max_tasks_per_zone(spec)
--- a/pearstep/scheduling/queued_work.py
+++ b/pearstep/scheduling/queued_work.py
@@ -1,4 +1,4 @@
-"""Work that waits to be scheduled."""
+"""Work waiting to be scheduled."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from pearstep.domain.job_spec import JobSpec
 
-# Scheduling key (``scheduling_key``), submission time and job ID: what sorts first is scheduled first.
+# Scheduling key (``scheduling_key``), submission time and job ID; the lowest is scheduled first.
 SortKey = tuple[int, int, str]
 
 
-# Made for each waiting job and pass: slots, and compared by identity.
+# Created for each waiting job and pass: slots save memory, and comparison is by identity.
 @dataclass(slots=True, eq=False)
 class QueuedWork:
-    """Work that waits in a shard: one gang, or the waiting tasks of an array or a service.
+    """Work waiting in a shard: one gang, or the waiting tasks of an array or a service.
 
     Attributes:
         spec: The job.
-        tasks: The numbers of the tasks that wait; a pass removes those that it starts.
-        sort_key: Its place among all work that waits.
-        queue: The queue of its estimated run time.
+        tasks: The numbers of the waiting tasks; a pass removes those that it starts.
+        sort_key: Its position among all waiting work.
+        queue: The index of its queue, by estimated run time.
         run_us: Its estimated run time.
-        zone: The only zone in which it may run; None if any.
-        retry_at_us: Until when it backs off.
-        avoided_machines: Machines on which it is not to start.
-        urgent: Whether its class has a start objective, so that image fetches count most.
+        zone: The only zone in which it may run; None: any.
+        retry_at_us: The end of its backoff; 0 if there is none.
+        avoided_machines: Machines on which it must not start.
+        urgent: Whether its class has a start objective, so that image fetch time comes first in placement.
     """
 
     spec: JobSpec
@@ -40,5 +40,5 @@
 
     @property
     def tasks_together(self) -> int:
-        """How many tasks must start together: all of a gang, else one."""
+        """The number of tasks that must start together: all of a gang, otherwise one."""
         return len(self.tasks) if self.spec.kind == "gang" else 1
--- a/pearstep/shard/task_placement.py
+++ b/pearstep/shard/task_placement.py
@@ -267,7 +267,7 @@
                 self._place(drafts[task], task, candidate.name, record.attempt, now_us, wall_us)
             return
         for candidate in chosen.values():
-            candidate.undo(spec, end_us)
+            candidate.revert_start(spec, end_us)
         from_us = now_us + max(record.start_at_us - wall_us, 0)
         for name in machines.values():
             reserved = by_name.get(name)
