--- a/pearstep/scheduling/whole_machine.py
+++ b/pearstep/scheduling/whole_machine.py
@@ -1,12 +1,12 @@
-"""Whole-machine reservations: machine types that alone can hold some work, a whole machine a task.
+"""Whole-machine reservations for tasks that fit on one machine type only and need a whole machine of it.
 
-One small task on such a machine blocks it for the work that can be nowhere else, for as long as the task
-runs. Seen (relevamiento-forestal, simulated machines): services of 2 CPUs, there for 800 s, and arrays of 4
+One small task on such a machine blocks the machine for these tasks as long as it runs. Seen
+(relevamiento-forestal, simulated machines): services of 2 CPUs that ran for 800 s and arrays of 4 CPUs
 occupied 22 machines of 48 CPUs; gangs of 43 CPUs a task waited 487 s at the 90th percentile. So work that
-could run elsewhere gets no more of such a machine than what its own work leaves over.
+could run on other types gets only the part of such a machine that a whole-machine task leaves free.
 
-Where a task needs half a machine or less the rule says nothing: what one small task blocks there is a small
-share, and machines that would stand idle for it cost more than they gain.
+Nothing is reserved for tasks that need half a machine or less: a small task blocks only a small share
+there, and reserved machines that stay idle would cost more than they gain.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 from pearstep.scheduling.capacity import ResourceShape, resource_shape
 from pearstep.scheduling.placement import fits_machine_type
 
-# How long a shape counts after the last job of it came: several times what boots and runs take.
-REMEMBERED_US = 600 * SECOND_US
-# How often shapes are counted anew if nothing changes.
-RECOUNT_INTERVAL_US = REMEMBERED_US // 10
-# Work that comes now and then is what machines are kept for; one such job alone waits like any other.
-RECURRING_JOBS = 2
-# Shapes that are remembered at the most, so that jobs that all differ cost little memory. Where 649 machines
-# see 260 shapes in that time, 4,000 see 1,600, and what comes more rarely must not be forgotten between.
+# How long a shape counts after its last job arrived: several times the duration of boots and runs.
+SHAPE_RETENTION_US = 600 * SECOND_US
+# How often reservations are recomputed if nothing changes.
+RECOMPUTE_INTERVAL_US = SHAPE_RETENTION_US // 10
+# Machines are reserved only for shapes with at least this many recent jobs; a single job has to wait.
+MIN_RECURRING_JOBS = 2
+# The largest number of shapes kept, which bounds memory if all jobs differ. 649 machines see 260 shapes in
+# the retention time, 4,000 machines see 1,600; shapes with rare arrivals must be kept between them.
 MAX_SHAPES = 4096
-# Cached answers on shapes and machine types, at the most.
+# The largest number of cached answers of ``can_run_elsewhere``.
 MAX_CACHED_ANSWERS = 8192
 
 
 class _RecentJobs(NamedTuple):
-    """The jobs of one shape that came lately: the last one, when it came, and how many came."""
+    """The recent jobs of one shape: the last one, its arrival time, and their number."""
 
     spec: JobSpec
     last_at_us: int
@@ -44,7 +44,7 @@
 
 
 class _Remainder(NamedTuple):
-    """What is left on a machine beside a whole-machine task, and whether that task may use spot."""
+    """The resources left beside a whole-machine task, and whether that task may use spot instances."""
 
     cpus: float
     gpus: float
@@ -53,104 +53,106 @@
 
 
 class WholeMachineReservations:
-    """Which machines are reserved for whom, from the shapes of the jobs that came lately.
+    """Decides which machine types are reserved, from the shapes of recent jobs.
 
     Attributes:
-        version: Counts the changes of what is reserved, for callers that cache free resources.
+        version: Incremented when the reservations change, for callers that cache free resources.
     """
 
     def __init__(self) -> None:
-        """Start without jobs and machine types."""
-        # By shape, the one whose last job came last at the end.
+        """Create reservations without jobs and machine types."""
+        # Jobs by shape, ordered by the arrival of the shape's last job.
         self._recent: dict[ResourceShape, _RecentJobs] = {}
         self._types: dict[str, MachineType] = {}
-        # By type that is reserved: what is left for work that could run elsewhere.
+        # By reserved machine type: the resources left for work that could run elsewhere.
         self._remainders: dict[str, _Remainder] = {}
-        self._elsewhere: dict[tuple[str, ResourceShape], bool] = {}
-        self._counted_at_us = -REMEMBERED_US
-        self._recount_due = False
+        self._elsewhere_cache: dict[tuple[str, ResourceShape], bool] = {}
+        self._recomputed_at_us = -SHAPE_RETENTION_US
+        self._recompute_due = False
         self.version = 0
 
     def record_job(self, spec: JobSpec, now_us: int) -> None:
         """Record the arrival of a job."""
         shape = resource_shape(spec)
-        known = self._recent.pop(shape, None)
-        count = 1 + (known.arrivals if known is not None else 0)
-        self._recount_due |= count == RECURRING_JOBS
-        self._recent[shape] = _RecentJobs(spec, now_us, count)
+        previous = self._recent.pop(shape, None)
+        arrivals = 1 + (previous.arrivals if previous is not None else 0)
+        self._recompute_due |= arrivals == MIN_RECURRING_JOBS
+        self._recent[shape] = _RecentJobs(spec, now_us, arrivals)
         if len(self._recent) > MAX_SHAPES:
             del self._recent[next(iter(self._recent))]
 
     def refresh(self, types: Iterable[MachineType], now_us: int) -> None:
-        """Take in new machine types and forget old shapes; called once before each pass."""
-        known = {machine_type.name: machine_type for machine_type in types}
-        changed = known.keys() != self._types.keys()
-        self._types = known
+        """Set the machine types and remove expired shapes; called once before each pass."""
+        types_by_name = {machine_type.name: machine_type for machine_type in types}
+        changed = types_by_name.keys() != self._types.keys()
+        self._types = types_by_name
         if changed:
-            self._elsewhere.clear()
-        if changed or self._recount_due or now_us - self._counted_at_us >= RECOUNT_INTERVAL_US:
-            self._recount_due = False
-            self._counted_at_us = now_us
-            self._recount(now_us)
-
-    def _recount(self, now_us: int) -> None:
-        self._forget_old_shapes(now_us)
-        before = self._remainders
+            self._elsewhere_cache.clear()
+        if changed or self._recompute_due or now_us - self._recomputed_at_us >= RECOMPUTE_INTERVAL_US:
+            self._recompute_due = False
+            self._recomputed_at_us = now_us
+            self._recompute(now_us)
+
+    def _recompute(self, now_us: int) -> None:
+        self._remove_expired_shapes(now_us)
+        previous_remainders = self._remainders
         self._remainders = {}
-        for spec, _, count in self._recent.values():
-            if count >= RECURRING_JOBS:
+        for spec, _, arrivals in self._recent.values():
+            if arrivals >= MIN_RECURRING_JOBS:
                 self._reserve_for(spec)
-        if before != self._remainders:
+        if previous_remainders != self._remainders:
             self.version += 1
 
-    def _forget_old_shapes(self, now_us: int) -> None:
-        old = [shape for shape, jobs in self._recent.items() if now_us - jobs.last_at_us > REMEMBERED_US]
-        for shape in old:
+    def _remove_expired_shapes(self, now_us: int) -> None:
+        expired = [
+            shape for shape, jobs in self._recent.items() if now_us - jobs.last_at_us > SHAPE_RETENTION_US
+        ]
+        for shape in expired:
             del self._recent[shape]
 
     def _reserve_for(self, spec: JobSpec) -> None:
-        """Reserve the one machine type that holds the job, if each task needs a whole machine."""
-        able = [
+        """Reserve the only machine type that fits the job, if each task needs a whole machine."""
+        suitable_types = [
             machine_type for machine_type in self._types.values() if fits_machine_type(spec, machine_type)
         ]
-        if len(able) != 1 or len(self._types) < 2:
+        if len(suitable_types) != 1 or len(self._types) < 2:
             return
-        name = able[0].name
-        free = total_resources(able[0])
+        name = suitable_types[0].name
+        free = total_resources(suitable_types[0])
         if free.count_fitting(spec, 2) != 1:
             return
         free.allocate(spec)
         cpus, gpus, memory_gb, spot = free.cpus, free.gpus, free.memory_gb, spec.spot
-        known = self._remainders.get(name)
-        if known is not None:
-            cpus = min(cpus, known.cpus)
-            gpus = min(gpus, known.gpus)
-            memory_gb = min(memory_gb, known.memory_gb)
-            spot = spot or known.spot
+        previous = self._remainders.get(name)
+        if previous is not None:
+            cpus = min(cpus, previous.cpus)
+            gpus = min(gpus, previous.gpus)
+            memory_gb = min(memory_gb, previous.memory_gb)
+            spot = spot or previous.spot
         self._remainders[name] = _Remainder(cpus, gpus, memory_gb, spot)
 
     def can_run_elsewhere(self, spec: JobSpec, name: str) -> bool:
         """Tell whether the job could run on machines of another type than the named one."""
         key = (name, resource_shape(spec))
-        found = self._elsewhere.get(key)
-        if found is None:
-            if len(self._elsewhere) >= MAX_CACHED_ANSWERS:
-                self._elsewhere.clear()
-            found = self._elsewhere[key] = any(
+        cached = self._elsewhere_cache.get(key)
+        if cached is None:
+            if len(self._elsewhere_cache) >= MAX_CACHED_ANSWERS:
+                self._elsewhere_cache.clear()
+            cached = self._elsewhere_cache[key] = any(
                 machine_type.name != name and fits_machine_type(spec, machine_type)
                 for machine_type in self._types.values()
             )
-        return found
+        return cached
 
     def is_reserved_from(self, spec: JobSpec, name: str, spot: bool) -> bool:
-        """Tell whether machines of the named type are reserved for other jobs than this one."""
+        """Tell whether machines of the named type are reserved for jobs other than this one."""
         return self.shared_resources(name, spot) is not None and self.can_run_elsewhere(spec, name)
 
     def shared_resources(self, name: str, spot: bool) -> FreeResources | None:
-        """Return what a machine of the named type has for work that could run elsewhere.
+        """Return the resources of an empty machine of this type for work that could run elsewhere.
 
         Returns:
-            The resources; None if the type is not reserved, so that all of it is for such work.
+            The resources; None if the type is not reserved, so that such work may use all of it.
         """
         remainder = self._remainders.get(name)
         if remainder is None or (spot and not remainder.spot):
@@ -158,14 +160,14 @@
         return FreeResources(remainder.cpus, remainder.gpus, remainder.memory_gb)
 
     def total_resources(self, machine_type: MachineType, spot: bool) -> FreeResources:
-        """Return all resources of an empty machine, with what of them is for whom."""
+        """Return the resources of an empty machine, with the share open to work that could run elsewhere."""
         shared = self.shared_resources(machine_type.name, spot)
         return self._with_shared(total_resources(machine_type), shared, machine_type.name)
 
     def no_resources(self, machine_type: MachineType, spot: bool) -> FreeResources:
-        """Return empty resources of such a machine.
+        """Return zero resources of such a machine, for callers that add what ending tasks free.
 
-        What work that could run elsewhere frees there is for such work again.
+        Resources that are freed by work that could run elsewhere are added to its share.
         """
         reserved = self.shared_resources(machine_type.name, spot) is not None
         shared = FreeResources(0, 0, 0) if reserved else None
--- a/tests/test_scarce.py
+++ b/tests/test_scarce.py
@@ -10,8 +10,8 @@
 from pearstep.leader.unplaced_work import UnplacedWork
 from pearstep.scheduling.whole_machine import (
     MAX_SHAPES,
-    RECURRING_JOBS,
-    REMEMBERED_US,
+    MIN_RECURRING_JOBS,
+    SHAPE_RETENTION_US,
     WholeMachineReservations,
 )
 from pearstep.state.records import InstanceRequestRecord
@@ -26,7 +26,7 @@
 
 def knowing(*jobs, types=TYPES, now=0):
     scarce = WholeMachineReservations()
-    for job in jobs * RECURRING_JOBS:
+    for job in jobs * MIN_RECURRING_JOBS:
         scarce.record_job(job, now)
     scarce.refresh(types.values(), now)
     return scarce
@@ -34,17 +34,17 @@
 
 def regular(view):
     """Jobs like ``WHOLE`` have come before."""
-    for _ in range(RECURRING_JOBS):
+    for _ in range(MIN_RECURRING_JOBS):
         view.machine_reservations.record_job(WHOLE, 0)
 
 
 def test_one_such_job_keeps_nothing_for_itself():
     scarce = WholeMachineReservations()
-    for n in range(RECURRING_JOBS):
+    for n in range(MIN_RECURRING_JOBS):
         scarce.refresh(TYPES.values(), n)
         assert scarce.shared_resources("big", False) is None
         scarce.record_job(WHOLE, n)
-    scarce.refresh(TYPES.values(), RECURRING_JOBS)
+    scarce.refresh(TYPES.values(), MIN_RECURRING_JOBS)
     assert scarce.shared_resources("big", False) is not None
 
 
@@ -76,10 +76,10 @@
 def test_it_ends_when_no_such_job_came_for_long_and_shapes_are_bounded():
     scarce = knowing(WHOLE)
     before = scarce.version
-    scarce.refresh(TYPES.values(), REMEMBERED_US + SECOND_US)
+    scarce.refresh(TYPES.values(), SHAPE_RETENTION_US + SECOND_US)
     assert scarce.shared_resources("big", False) is None and scarce.version == before + 1
     for n in range(3 * MAX_SHAPES):
-        scarce.record_job(spec(f"req-{n}", cpus=float(n + 1)), 2 * REMEMBERED_US)
+        scarce.record_job(spec(f"req-{n}", cpus=float(n + 1)), 2 * SHAPE_RETENTION_US)
     assert len(scarce._recent) == MAX_SHAPES
 
 
@@ -180,7 +180,7 @@
 
 def test_types_that_become_known_later_count():
     scarce = WholeMachineReservations()
-    for _ in range(RECURRING_JOBS):
+    for _ in range(MIN_RECURRING_JOBS):
         scarce.record_job(WHOLE, 0)
     scarce.refresh([BIG], 0)
     assert scarce.shared_resources("big", False) is None
