--- a/tests/test_faulty.py
+++ b/tests/test_faulty.py
@@ -1,4 +1,4 @@
-"""Jobs that were submitted with a mistake, many small tasks, and what their records weigh."""
+"""Tests of fault attribution and backoff, and of jobs with many small tasks and the size of their records."""
 
 import msgspec
 from hypothesis import given
@@ -12,178 +12,186 @@
 from tests.world import World, spec
 
 
-def fail_all(w):
-    """Whatever starts fails; how many tasks that were, by job."""
+def fail_started_tasks(world):
+    """Let every started task fail; return the number of failed tasks by job."""
     failed = {}
-    for m, name, number in sorted(w.starts(w.run())):
-        w.report(m, (name, number, "exited", "error"))
-        failed[name.split("/")[0]] = failed.get(name.split("/")[0], 0) + 1
-    w.commit()
+    for machine, task, number in sorted(world.starts(world.run())):
+        world.report(machine, (task, number, "exited", "error"))
+        failed[task.split("/")[0]] = failed.get(task.split("/")[0], 0) + 1
+    world.commit()
     return failed
 
 
-def test_faulty_array_is_tried_again_with_one_task_and_a_new_owner_knows_it():
-    w = World()
+def test_faulty_array_is_retried_one_task_at_a_time_also_after_a_takeover():
+    world = World()
     for n in range(4):
-        w.machine(f"m{n}")
-    w.submit(spec(tasks=12))
-    assert fail_all(w)["req-1"] == 12
-    tries = []
+        world.machine(f"m{n}")
+    world.submit(spec(tasks=12))
+    assert fail_started_tasks(world)["req-1"] == 12
+    retries = []
     for _ in range(30):
-        w.later(5)
+        world.later(5)
         for n in range(4):
-            w.report(f"m{n}")
-        tries.append(fail_all(w).get("req-1", 0))
-    assert max(tries) == 1 and 2 <= sum(tries) <= 8
-    w.take_over()
+            world.report(f"m{n}")
+        retries.append(fail_started_tasks(world).get("req-1", 0))
+    assert max(retries) == 1 and 2 <= sum(retries) <= 8
+    world.take_over()
     for n in range(4):
-        w.report(f"m{n}")
-    assert sum(len(m.attempts) for m in w.owner.machines.values()) == 0
-    assert fail_all(w).get("req-1", 0) <= 1
-    assert not w.view.drains
+        world.report(f"m{n}")
+    assert sum(len(m.attempts) for m in world.owner.machines.values()) == 0
+    assert fail_started_tasks(world).get("req-1", 0) <= 1
+    assert not world.view.drains
 
 
-def test_two_faulty_jobs_that_meet_on_a_good_machine_do_not_condemn_it():
-    t = FaultAttribution(3, 2)
-    assert not t.record_failure("m0", "a", 0)
-    assert not t.record_failure("m1", "a", 0)
-    assert not t.record_failure("m0", "b", 0)
-    assert t.record_failure("m0", "c", 0)  # two that failed nowhere else
+def test_two_faulty_jobs_on_one_machine_do_not_make_it_faulty():
+    attribution = FaultAttribution(3, 2)
+    assert not attribution.record_failure("m0", "a", 0)
+    assert not attribution.record_failure("m1", "a", 0)
+    assert not attribution.record_failure("m0", "b", 0)
+    assert attribution.record_failure("m0", "c", 0)  # two jobs that failed on no other machine
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(["m0", "m1", "m2", "m3"]), st.booleans())))
-def test_a_job_that_completes_is_never_suspect_and_rests_are_bounded(events):
-    t, good, now = FaultAttribution(3, 2), set(), 0
-    for ref, machine, ok in events:
+def test_completed_job_is_never_suspect_and_backoffs_are_bounded(events):
+    attribution, completed, now = FaultAttribution(3, 2), set(), 0
+    for job_id, machine, succeeded in events:
         now += SECOND_US
-        if ok:
-            t.record_success(machine, ref)
-            good.add(ref)
+        if succeeded:
+            attribution.record_success(machine, job_id)
+            completed.add(job_id)
         else:
-            t.record_failure(machine, ref, now)
-        assert t.retry_at_us(ref) <= now + MAX_BACKOFF_S * SECOND_US
-        assert not any(t.is_suspect(r) for r in good)
-        for r in "abc":
-            assert not t.is_suspect(r) or len(t.failed_machines(r)) >= 3
-    for r in "abc":
-        t.forget_job(r)
-    assert not (t._jobs or t._avoid_until_us or any(m.errors_by_job for m in t._machines.values()))
-
-
-def test_nothing_is_rented_and_no_gang_gathered_at_once_for_a_job_that_only_failed():
-    o = Office()
+            attribution.record_failure(machine, job_id, now)
+        assert attribution.retry_at_us(job_id) <= now + MAX_BACKOFF_S * SECOND_US
+        assert not any(attribution.is_suspect(each_job) for each_job in completed)
+        for each_job in "abc":
+            assert not attribution.is_suspect(each_job) or len(attribution.failed_machines(each_job)) >= 3
+    for each_job in "abc":
+        attribution.forget_job(each_job)
+    assert not (
+        attribution._jobs
+        or attribution._avoid_until_us
+        or any(m.errors_by_job for m in attribution._machines.values())
+    )
+
+
+def test_failing_gang_causes_no_scale_out_until_its_backoff_ends():
+    office = Office()
     job = spec(tasks=4, kind="gang")
-    o.submit(job)
-    o.route()
-    assert o.fleet.plan_scale_out(o.leader.unplaced + o.leader.without_machine, o.now, o.now)
-    o.place(0, "req-1", [])
-    placed = o.replica.jobs["req-1"].placements[0, 0]
-    o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=4))
+    office.submit(job)
+    office.route()
+    assert office.fleet.plan_scale_out(
+        office.leader.unplaced + office.leader.without_machine, office.now, office.now
+    )
+    office.place(0, "req-1", [])
+    placed = office.replica.jobs["req-1"].placements[0, 0]
+    office.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=4))
     for _ in range(3):
-        o.route()
-        assert not o.leader.unplaced + o.leader.without_machine
-    o.now += MAX_BACKOFF_S * SECOND_US
-    assert [j.spec.job_id for j in o.leader.ordered(o.now, o.now)] == ["req-1"]
-    o.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=0, done="1"))
-    assert not o.leader._is_backing_off(o.replica.jobs["req-1"], o.now)
+        office.route()
+        assert not office.leader.unplaced + office.leader.without_machine
+    office.now += MAX_BACKOFF_S * SECOND_US
+    assert [j.spec.job_id for j in office.leader.ordered(office.now, office.now)] == ["req-1"]
+    office.put("p/0/req-1/0", msgspec.structs.replace(placed.record, consecutive_failures=0, done="1"))
+    assert not office.leader._is_backing_off(office.replica.jobs["req-1"], office.now)
 
 
-def test_routes_of_a_vast_array_stay_short_while_its_tasks_end_in_any_order():
-    o = Office(shard_count=3)
+def test_routes_of_a_large_array_stay_short_if_tasks_end_out_of_order():
+    office = Office(shard_count=3)
     for n in range(30):
-        o.machine(f"m{n}", n % 3)
-    o.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
+        office.machine(f"m{n}", n % 3)
+    office.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
     done = 0
     for turn in range(12):
-        o.route()
-        for part, route in o.replica.jobs["req-1"].routes.items():
+        office.route()
+        for shard_id, route in office.replica.jobs["req-1"].routes.items():
             assert len(msgspec.json.encode(route.record)) < 4096
             done = route.tasks & int("5" * 6250 if turn % 2 else "3" * 6250, 16)
-            o.place(part, "req-1", [], done=done & ((1 << TASKS_PER_RECORD) - 1))
-    assert o.replica.jobs["req-1"].done_tasks.bit_count() > 1000
+            office.place(shard_id, "req-1", [], done=done & ((1 << TASKS_PER_RECORD) - 1))
+    assert office.replica.jobs["req-1"].done_tasks.bit_count() > 1000
 
 
-def test_on_an_idle_fleet_only_so_many_tasks_of_a_job_wait_in_a_part():
-    o = Office(shard_count=3)
+def test_number_of_tasks_routed_to_a_shard_is_limited_on_an_idle_fleet():
+    office = Office(shard_count=3)
     for n in range(30):
-        o.machine(f"m{n}", n % 3, mtype="big")
-    o.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
+        office.machine(f"m{n}", n % 3, mtype="big")
+    office.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
     for _ in range(3):
-        o.now += 10 * SECOND_US
-        o.route()
-    routes = o.replica.jobs["req-1"].routes.values()
+        office.now += 10 * SECOND_US
+        office.route()
+    routes = office.replica.jobs["req-1"].routes.values()
     assert sum(r.tasks.bit_count() for r in routes) > 512 and max(r.tasks.bit_count() for r in routes) <= 512
-    assert not o.leader.without_machine  # nothing is rented for what waits its turn
+    assert not office.leader.without_machine  # nothing is rented for tasks that wait their turn
 
 
-def test_record_of_many_running_tasks_stays_within_a_value():
-    w = World()
+def test_record_of_many_running_tasks_stays_within_the_value_size_limit():
+    world = World()
     for n in range(8):
-        w.machine(f"i-00000{n}", mtype="big")
-    w.submit(spec(tasks=5_000, cpus=0.25, memory_gb=0.5))
+        world.machine(f"i-00000{n}", mtype="big")
+    world.submit(spec(tasks=5_000, cpus=0.25, memory_gb=0.5))
     for _ in range(5):
-        w.run()
-        w.later(1)
-        for name, m in w.owner.machines.items():
-            w.report(name, *[(a.name, a.number, "running") for a in m.attempts.values()], mtype="big")
-    rec = w.owner.drafts["req-1", 0]
-    rec.done_tasks |= sum(1 << t for t in range(0, TASKS_PER_RECORD, 2))
-    assert len(rec.attempts) > 100 and len(msgspec.json.encode(rec.to_record())) < 16_384
-
-
-def test_end_of_an_array_takes_the_place_of_its_last_record():
-    w = World()
-    m, name, number = w.place_one()
-    w.report(m, (name, number, "running"))
-    w.report(m, (name, number, "exited", "done"))
-    batch = w.owner.gather_commit(w.now, w.now)
+        world.run()
+        world.later(1)
+        for name, machine in world.owner.machines.items():
+            world.report(
+                name, *[(a.name, a.number, "running") for a in machine.attempts.values()], mtype="big"
+            )
+    draft = world.owner.drafts["req-1", 0]
+    draft.done_tasks |= sum(1 << task for task in range(0, TASKS_PER_RECORD, 2))
+    assert len(draft.attempts) > 100 and len(msgspec.json.encode(draft.to_record())) < 16_384
+
+
+def test_end_of_a_job_replaces_its_last_placement_record():
+    world = World()
+    machine, name, number = world.place_one()
+    world.report(machine, (name, number, "running"))
+    world.report(machine, (name, number, "exited", "done"))
+    batch = world.owner.gather_commit(world.now, world.now)
     assert "j/req-1" in batch.puts and not any(key.startswith("p/") for key in batch.puts)
-    revision = w.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
-    w.owner.on_committed(batch, revision, ShardActions())
-    w.catch_up()
-    job = w.view.jobs["req-1"]
+    revision = world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
+    world.owner.on_committed(batch, revision, ShardActions())
+    world.catch_up()
+    job = world.view.jobs["req-1"]
     assert (
         job.state == "done"
         and not job.placed_tasks
-        and "req-1" not in w.view.open_jobs
-        and "m0" not in w.view.placements_by_machine
+        and "req-1" not in world.view.open_jobs
+        and "m0" not in world.view.placements_by_machine
     )
-    assert ("forget", name, number, None) in w.report(m, (name, number, "exited", "done"))
-    assert not w.take_over().drafts.get(("req-1", 0)).attempts
+    assert ("forget", name, number, None) in world.report(machine, (name, number, "exited", "done"))
+    assert not world.take_over().drafts.get(("req-1", 0)).attempts
 
 
-def test_small_jobs_come_to_their_turn_beside_a_record_that_always_has_something_new():
-    w = World(txn_ops=2)
-    w.machine("m0", mtype="big")
-    w.submit(spec("req-0", tasks=500, cpus=0.1, memory_gb=0.1))
+def test_small_jobs_are_committed_beside_a_record_that_always_changes():
+    world = World(txn_ops=2)
+    world.machine("m0", mtype="big")
+    world.submit(spec("req-0", tasks=500, cpus=0.1, memory_gb=0.1))
     for n in range(1, 6):
-        w.submit(spec(f"req-{n}", tasks=1, cpus=0.1, memory_gb=0.1))
-    w.step()
-    turns = set()
+        world.submit(spec(f"req-{n}", tasks=1, cpus=0.1, memory_gb=0.1))
+    world.step()
+    committed = set()
     for _ in range(8):
-        w.later(1)
-        batch = w.owner.gather_commit(w.now, w.now)
-        turns.update(rec.spec.job_id for rec in batch.drafts)
-        revision = w.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
-        w.owner.on_committed(batch, revision, ShardActions())
-        w.owner.drafts["req-0", 0].dirty = True
-    assert turns == {f"req-{n}" for n in range(6)}
-
-
-def test_job_goes_back_to_the_only_machine_that_it_failed_on_after_a_while():
-    # Seen (rig, seed 1184): its machine was sick for a while and the only one of the part; nothing else was
-    # rented, for there was room, and the job was never tried again.
-    w = World()
-    w.machine("m0")
-    w.submit(spec(tasks=1))
-    assert fail_all(w) == {"req-1": 1}
+        world.later(1)
+        batch = world.owner.gather_commit(world.now, world.now)
+        committed.update(draft.spec.job_id for draft in batch.drafts)
+        revision = world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
+        world.owner.on_committed(batch, revision, ShardActions())
+        world.owner.drafts["req-0", 0].dirty = True
+    assert committed == {f"req-{n}" for n in range(6)}
+
+
+def test_job_is_retried_on_the_only_machine_after_the_avoidance_time():
+    # Seen (simulation, seed 1184): the only machine of a shard was temporarily faulty. No other machine was
+    # rented, because this one had free resources, and the job was never retried.
+    world = World()
+    world.machine("m0")
+    world.submit(spec(tasks=1))
+    assert fail_started_tasks(world) == {"req-1": 1}
     for _ in range(MAX_BACKOFF_S // 5 - 1):
-        w.later(5)
-        w.report("m0")
-        assert not w.starts(w.run())
+        world.later(5)
+        world.report("m0")
+        assert not world.starts(world.run())
     for _ in range(3):
-        w.later(5)
-        w.report("m0")
-        if w.starts(w.run()):
+        world.later(5)
+        world.report("m0")
+        if world.starts(world.run()):
             return
     raise AssertionError("never tried again")
