--- a/pearstep/domain/attempt.py
+++ b/pearstep/domain/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a task on a machine, and its state machine."""
+"""An attempt to run a task on a machine, and its state machine."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from pearstep.domain.state_machine import TransitionTable
 from pearstep.domain.units import SECOND_US
 
-# The phase that an agent reports while the task's process runs.
+# The phase that an agent reports while the process of the task runs.
 RUNNING_PHASE = "running"
-# An attempt that is past its expected end is expected to last at least this much longer.
+# The shortest remaining time that is assumed for an attempt past its expected end.
 MIN_REMAINING_US = SECOND_US
 
 
@@ -19,11 +19,11 @@
 
     PLACING = "placing"  # the record is not committed yet
     PLACED = "placed"  # recorded; the start command may be sent, and may arrive at any time
-    OBSERVED = "heard"  # a heartbeat has shown it: fetching, waiting, running or saving
-    ENDED = "ended"  # there is evidence that it is gone
+    OBSERVED = "heard"  # reported by a heartbeat as fetching, waiting, running or saving
+    ENDED = "ended"  # known not to run any more
 
 
-# Compared for each task or machine; on CPython 3.11 a member is found slowly on its enum.
+# Used in hot comparisons per task or machine; looking up an enum member is slow on CPython 3.11.
 _PLACING = AttemptState.PLACING
 _OBSERVED = AttemptState.OBSERVED
 _PLACED = AttemptState.PLACED
@@ -41,20 +41,20 @@
 
 
 class TaskAttempt:
-    """What the shard owner knows of an attempt beyond its record.
+    """State of an attempt that the shard owner keeps in addition to the stored record.
 
     Attributes:
         spec: the job.
         task: the task's number within the job.
         machine: the name of the machine.
-        incarnation: the incarnation of the machine's agent that it was placed with.
-        number: the attempt's number; a later attempt in the same placement record has a higher one.
+        incarnation: the incarnation of the machine's agent at the placement.
+        number: the number of the attempt, which rises with each attempt in the same placement record.
         placed_wall_us: wall time of the placement, as recorded.
         state: see ``AttemptState``.
-        phase: what the agent last reported of it; empty until then.
-        placed_at_us: time of the placement by this node's clock.
-        running_since_us: when it was first reported as running; 0: not yet.
-        stop_grace_us: the time it was given to save its work when a stop was decided; None: no stop was.
+        phase: the phase that the agent last reported; empty before the first report.
+        placed_at_us: time of the placement, by this node's clock.
+        running_since_us: when it was first reported as running; 0: never.
+        stop_grace_us: the time that a decided stop gives it to save its work; None: no stop is decided.
         stop_sent_at_us: when the stop was decided.
     """
 
@@ -73,7 +73,7 @@
         "task",
     )
 
-    # One argument for each field of the record and its clock: built for each placement, so no object between.
+    # Many arguments instead of a parameter object, because an attempt is built for each placement.
     def __init__(  # noqa: PLR0913
         self,
         spec: JobSpec,
@@ -84,7 +84,7 @@
         placed_wall_us: int,
         placed_at_us: int,
     ) -> None:
-        """Describe an attempt whose record is not committed yet."""
+        """Create an attempt whose record is not committed yet."""
         self.spec = spec
         self.task = task
         self.machine = machine
@@ -100,11 +100,11 @@
 
     @property
     def name(self) -> str:
-        """The task's name towards agents."""
+        """The name of the task in messages to and from agents."""
         return f"{self.spec.job_id}/{self.task}"
 
     def observe(self, phase: str, now_us: int) -> None:
-        """Take in a heartbeat that shows the attempt alive.
+        """Apply a heartbeat that reports the attempt.
 
         Raises:
             InvalidTransitionError: the attempt has ended.
@@ -123,21 +123,21 @@
         ran_us = now_us - self.running_since_us
         return ran_us % self.spec.checkpoint_us if self.spec.checkpoint_us else ran_us
 
-    def expected_end_us(self, now_us: int, run_us: int, overrun: float) -> int:
+    def expected_end_us(self, now_us: int, run_us: int, overrun_share: float) -> int:
         """Estimate when the attempt ends.
 
-        An overrun extends the expected end instead of ending the task: by a share of the time it has run, so
-        that the estimate keeps its distance.
+        A task that runs longer than expected is not ended. Its expected end is moved ahead by a share of the
+        time that it has run, so that the remaining time grows with the run time.
 
         Args:
             now_us: the time by this node's clock.
             run_us: how long it is expected to run.
-            overrun: the share of its running time by which an overrun extends the expected end.
+            overrun_share: the share of the run time by which an overrun moves the expected end ahead.
         """
         if self.stop_grace_us is not None:
             return max(self.stop_sent_at_us + self.stop_grace_us, now_us) + MIN_REMAINING_US
-        begun_us = self.running_since_us or max(self.placed_at_us, now_us)
-        end_us = begun_us + run_us
+        started_us = self.running_since_us or max(self.placed_at_us, now_us)
+        end_us = started_us + run_us
         if end_us <= now_us:
-            end_us = now_us + max(int((now_us - begun_us) * overrun), MIN_REMAINING_US)
+            end_us = now_us + max(int((now_us - started_us) * overrun_share), MIN_REMAINING_US)
         return end_us
--- a/pearstep/domain/gang.py
+++ b/pearstep/domain/gang.py
@@ -1,4 +1,4 @@
-"""A gang inside one shard: the state that its attempts add up to."""
+"""State of a gang within one shard, derived from its attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     WAITING = "waiting"  # no task has a placement
     FORMING = "forming"  # all tasks are placed, not all run yet
     RUNNING = "running"
-    BREAKING = "breaking"  # some tasks are gone or being stopped; the others must go before a restart
+    BREAKING = "breaking"  # some tasks have ended or are being stopped; all must end before a restart
     COMPLETE = "complete"
 
 
@@ -32,30 +32,30 @@
 
 
 class Gang:
-    """The state of a gang; ``update`` is the only place where it changes."""
+    """State of a gang; only ``update`` changes it."""
 
     __slots__ = ("state",)
 
     def __init__(self) -> None:
-        """Begin without any placement."""
+        """Create a gang without placements."""
         self.state = GangState.WAITING
 
     def update(self, tasks: int, done: bool, attempts: Collection[TaskAttempt]) -> GangState:
-        """Derive the state from the gang's attempts: one that lacks a task is breaking until it is empty.
+        """Derive the state from the attempts; a gang that lacks a task breaks until all tasks have ended.
 
         Args:
-            tasks: how many tasks the gang has.
+            tasks: the number of tasks of the gang.
             done: whether all of them are recorded as done.
-            attempts: the attempts that are not known to be gone.
+            attempts: the attempts that are not known to have ended.
 
         Returns:
             The new state.
         """
-        to = self._next_state(tasks, done, attempts)
-        if self.state == GangState.WAITING and to in (GangState.RUNNING, GangState.BREAKING):
+        next_state = self._next_state(tasks, done, attempts)
+        if self.state == GangState.WAITING and next_state in (GangState.RUNNING, GangState.BREAKING):
             GANG_TRANSITIONS.transition(self, GangState.FORMING)
-        GANG_TRANSITIONS.transition(self, to)
-        return to
+        GANG_TRANSITIONS.transition(self, next_state)
+        return next_state
 
     def _next_state(self, tasks: int, done: bool, attempts: Collection[TaskAttempt]) -> GangState:
         if done:
@@ -68,5 +68,5 @@
             return GangState.BREAKING
         if all(attempt.phase == RUNNING_PHASE for attempt in attempts):
             return GangState.RUNNING
-        # A task that has left the phase, to save its work, doesn't make a running gang form anew.
+        # A task that leaves the running phase to save its work does not return a running gang to forming.
         return GangState.RUNNING if self.state == GangState.RUNNING else GangState.FORMING
--- a/pearstep/domain/state_machine.py
+++ b/pearstep/domain/state_machine.py
@@ -1,4 +1,4 @@
-"""State machines: a table of the allowed transitions, and one function that makes every transition."""
+"""State machines: a table of allowed transitions and a function that checks and makes them."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 
 class Stateful(Protocol[State]):
-    """Anything that has a named state."""
+    """An object with a state."""
 
     state: State
 
 
 class InvalidTransitionError(DomainError):
-    """A transition that the table does not allow: a fault in this program, never in a peer's message."""
+    """A transition that the table does not allow: a bug in this program, never caused by a peer's message."""
 
 
 class TransitionTable(Generic[State]):
-    """The transitions of one kind of state machine."""
+    """The allowed transitions of one kind of state machine."""
 
     def __init__(self, name: str, transitions: dict[State, tuple[State, ...]]) -> None:
-        """Name the kind of state machine, and list the states that may follow each state."""
+        """Create a table that lists the states that may follow each state."""
         self.name = name
         self.transitions = transitions
 
-    def transition(self, subject: Stateful[State], to: State) -> None:
-        """Change the state of a subject; to stay in a state is always allowed.
+    def transition(self, subject: Stateful[State], target: State) -> None:
+        """Change the state of a subject; keeping the current state is always allowed.
 
         Raises:
-            InvalidTransitionError: the table does not allow it; the subject's state is unchanged.
+            InvalidTransitionError: the table does not allow the transition; the state is unchanged.
         """
-        self.check(subject.state, to)
-        subject.state = to
+        self.check(subject.state, target)
+        subject.state = target
 
-    def check(self, state: State, to: State) -> None:
-        """Check a transition, for records that are replaced whole.
+    def check(self, state: State, target: State) -> None:
+        """Check a transition without making it, for records that are replaced as a whole.
 
         Raises:
-            InvalidTransitionError: the table does not allow it.
+            InvalidTransitionError: the table does not allow the transition.
         """
-        if state != to and to not in self.transitions[state]:
-            raise InvalidTransitionError(f"{self.name}: {state} -> {to}")
+        if state != target and target not in self.transitions[state]:
+            raise InvalidTransitionError(f"{self.name}: {state} -> {target}")
