--- a/pearstep/domain/__init__.py
+++ b/pearstep/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, machine types, resources and the state machines of attempts and gangs, without input or output."""
+"""Domain model: jobs, machine types, resources, and the state machines of attempts and gangs; no I/O."""
--- a/pearstep/domain/errors.py
+++ b/pearstep/domain/errors.py
@@ -1,7 +1,7 @@
-"""The base class of the errors of this package."""
+"""Base class of the errors of the domain model."""
 
 from __future__ import annotations
 
 
 class DomainError(Exception):
-    """An error of the domain model."""
+    """Base class of the domain model's errors."""
--- a/pearstep/domain/job_state.py
+++ b/pearstep/domain/job_state.py
@@ -6,7 +6,7 @@
 
 
 class JobState(StrEnum):
-    """States of a job. The values are stored."""
+    """States of a job. The values are part of stored records."""
 
     QUEUED = "queued"
     DONE = "done"
--- a/pearstep/domain/machine_type.py
+++ b/pearstep/domain/machine_type.py
@@ -1,4 +1,4 @@
-"""Types of machine on offer."""
+"""Machine types offered by the cloud."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A type of machine on offer and what it costs.
+    """A machine type offered by the cloud, with its prices.
 
     Attributes:
-        name: the type's name.
+        name: the name of the type.
         cpus: processors.
         gpus: accelerators.
         memory_gb: memory.
-        cache_gb: space for images.
-        fetch_gb_per_s: how fast images are fetched.
-        price: the price of an instance for a unit of time.
-        spot_price: the price of a spot instance.
-        boot_us: how long an instance takes to boot.
-        zones: where it is on offer.
+        cache_gb: the space for cached images.
+        fetch_gb_per_s: the rate at which images are fetched.
+        price: the price of an instance per unit of time.
+        spot_price: the price of a spot instance per unit of time.
+        boot_us: the boot time of an instance.
+        zones: the zones in which it is offered.
     """
 
     name: str
--- a/pearstep/domain/resources.py
+++ b/pearstep/domain/resources.py
@@ -7,14 +7,14 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.domain.machine_type import MachineType
 
-# Amounts are sums of floating-point numbers: differences up to this count as equal.
+# Tolerance for comparisons, because amounts are sums of floating-point numbers.
 RESOURCE_EPSILON = 1e-6
 
 
 class SharedResources:
-    """The share of a machine that is open to work which could also run elsewhere.
+    """The share of a machine for work that could also run on other machine types.
 
-    The rest is reserved for work that fits on this type of machine only (``scheduling.whole_machine``).
+    The rest is reserved for work that fits on this machine type only (``scheduling.whole_machine``).
 
     Attributes:
         free: how much of the share is free.
@@ -24,7 +24,7 @@
     __slots__ = ("can_run_elsewhere", "free")
 
     def __init__(self, free: FreeResources, can_run_elsewhere: Callable[[JobSpec], bool]) -> None:
-        """Set the free amounts of the share, and whom it is for."""
+        """Set the free amounts of the share and the test of which jobs are limited to it."""
         self.free = free
         self.can_run_elsewhere = can_run_elsewhere
 
@@ -51,7 +51,7 @@
         self.shared = shared
 
     def copy(self) -> FreeResources:
-        """Return an independent copy to plan with."""
+        """Return an independent copy, for planning."""
         shared = self.shared
         if shared is not None:
             shared = SharedResources(shared.free.copy(), shared.can_run_elsewhere)
@@ -76,10 +76,10 @@
         if self.shared is not None and self.shared.can_run_elsewhere(spec):
             self.shared.free.allocate(spec, count)
 
-    def count_fitting(self, spec: JobSpec, most: int) -> int:
-        """Count the tasks of the job that fit, up to ``most``."""
-        # Called more often than anything else: a machine without free resources is skipped at once.
-        count = most
+    def count_fitting(self, spec: JobSpec, max_count: int) -> int:
+        """Count the tasks of the job that fit, up to ``max_count``."""
+        # The most frequently called function: it returns early for a machine without free resources.
+        count = max_count
         if spec.cpus > 0:
             if self.cpus + RESOURCE_EPSILON < spec.cpus:
                 return 0
--- a/pearstep/domain/scheduling_order.py
+++ b/pearstep/domain/scheduling_order.py
@@ -1,4 +1,4 @@
-"""The order in which waiting jobs are scheduled."""
+"""Order in which waiting jobs are scheduled."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from pearstep.domain.job_spec import PRIORITIES, JobSpec
 from pearstep.domain.units import FAR_FUTURE_US
 
-# For each job class, the times within which its jobs are to start, in ascending order (microseconds).
+# The start objectives of each job class: times from submission to start (microseconds), ascending.
 StartObjectives = Mapping[str, tuple[int, ...]]
 
-# A job that is overdue for its first start goes before all work of this priority and below it.
+# The priority of a job that is overdue for its first start; it precedes other work of that priority.
 OVERDUE_PRIORITY = PRIORITIES.index("high")
 
 
@@ -22,23 +22,22 @@
     guaranteed_start_us: int = 0,
     overdue: bool = False,
 ) -> int:
-    """Compute a job's place in the order of scheduling: jobs with lower keys are served first.
+    """Compute the scheduling key of a job; jobs with lower keys are scheduled first.
 
-    Priority counts first, then the time by which the job is still to start, before the order of arrival.
-    Operators state within which times a class is to start, and a job within its team's guaranteed quota;
-    once the first has passed the next one counts, so that what is late already does not make everything else
-    late too. A job that has missed them all comes to its turn as it ages; jobs without such objectives come
-    last.
+    Jobs are ordered by priority, then by the time at which the next start objective ends. Operators set
+    start objectives for job classes and for jobs within their team's guaranteed quota. After a missed
+    objective the job's next one counts, so that late jobs do not make all others late. A job that has missed
+    all objectives moves up as it ages; jobs without objectives come last.
 
     Args:
         spec: the job.
         submitted_at_us: wall time of its submission.
-        wall_us: the wall time now.
-        start_objectives: the times within which jobs of each class are to start.
-        guaranteed_start_us: the time within which the job is to start since it is within its team's
-            guaranteed quota; 0: it is not.
-        overdue: whether it has waited too long for its first start (``Job.is_overdue``); then it goes before
-            all but production work.
+        wall_us: the current wall time.
+        start_objectives: the start objectives of each job class.
+        guaranteed_start_us: the start objective of a job within its team's guaranteed quota; 0: the job is
+            not within it.
+        overdue: whether the job has waited too long for its first start (``Job.is_overdue``); then it
+            precedes all work except production work.
     """
     if overdue:
         return min(spec.priority, OVERDUE_PRIORITY) * FAR_FUTURE_US + submitted_at_us
--- a/pearstep/domain/task_set.py
+++ b/pearstep/domain/task_set.py
@@ -1,17 +1,17 @@
-"""Sets of a job's tasks as bit masks, and as text."""
+"""Sets of a job's tasks as bit masks and as text."""
 
 from __future__ import annotations
 
 
-def task_numbers(mask: int, most: int | None = None) -> list[int]:
-    """List the task numbers in a bit mask, in ascending order, without walking the gaps.
+def task_numbers(mask: int, max_count: int | None = None) -> list[int]:
+    """List the task numbers in a bit mask in ascending order; zero bits cost no time.
 
     Args:
         mask: the set of tasks.
-        most: only the first so many; None: all.
+        max_count: the largest number of tasks to list; None: all.
     """
     numbers: list[int] = []
-    while mask and len(numbers) != most:
+    while mask and len(numbers) != max_count:
         lowest_bit = mask & -mask
         numbers.append(lowest_bit.bit_length() - 1)
         mask ^= lowest_bit
@@ -19,9 +19,9 @@
 
 
 def format_task_ranges(mask: int) -> str:
-    """Write a bit mask as '0-4,7'.
+    """Format a bit mask as task ranges, for example '0-4,7'.
 
-    Runs of ones are cut off whole, so that long runs cost little.
+    Each run of ones is handled in one step, so that long runs cost little.
     """
     ranges = []
     base = 0
@@ -37,7 +37,7 @@
 
 
 def parse_task_ranges(text: str) -> int:
-    """Read the bit mask that ``format_task_ranges`` has written.
+    """Parse the output of ``format_task_ranges`` into a bit mask.
 
     Raises:
         ValueError: the text is not a list of ranges.
--- a/pearstep/domain/team.py
+++ b/pearstep/domain/team.py
@@ -1,4 +1,4 @@
-"""Teams with their guaranteed quotas and quota limits."""
+"""Teams and their quotas."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed quota and quota limit; 0 stands for none.
+    """A team with its guaranteed quota and its quota limit; 0: none.
 
     Attributes:
-        name: the team.
+        name: the name of the team.
         cpus: guaranteed processors.
-        cpus_max: limit of processors in use at the same time.
+        cpus_max: the largest number of processors in use at the same time.
         gpus: guaranteed accelerators.
-        gpus_max: limit of accelerators in use at the same time.
+        gpus_max: the largest number of accelerators in use at the same time.
     """
 
     name: str
@@ -25,11 +25,11 @@
     gpus_max: float = 0.0
 
     def within_limit(self, cpus: float, gpus: float) -> bool:
-        """Tell whether the team may use this much at the same time."""
+        """Tell whether the team may use these amounts at the same time."""
         return _within_quota(cpus, self.cpus_max) and _within_quota(gpus, self.gpus_max)
 
     def within_guarantee(self, cpus: float, gpus: float) -> bool:
-        """Tell whether so much is within the team's guarantee; a resource without one is not counted."""
+        """Tell whether the amounts are within the guaranteed quota; a resource without one is ignored."""
         return _within_quota(cpus, self.cpus) and _within_quota(gpus, self.gpus)
 
 
