--- a/tests/test_guarantee.py
+++ b/tests/test_guarantee.py
@@ -1,4 +1,4 @@
-"""Jobs within their teams' guarantees, and the order that follows."""
+"""Tests of guaranteed quotas: which jobs are within them, and their place in the scheduling order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,16 +15,16 @@
 TEAMS = {"a": Team("a", cpus=100.0), "b": Team("b", gpus=4.0), "c": Team("c")}
 
 
-def office(*jobs):
-    o = Office()
-    o.replica.quota_guarantees = QuotaGuarantees(TEAMS, 30 * SECOND_US)
+def office_with_jobs(*jobs):
+    office = Office()
+    office.replica.quota_guarantees = QuotaGuarantees(TEAMS, 30 * SECOND_US)
     for n, job in enumerate(jobs):
-        o.submit(job, at=n)
-    return o
+        office.submit(job, at=n)
+    return office
 
 
-def test_a_job_is_within_if_it_fits_together_with_the_earlier_ones_of_its_team():
-    o = office(
+def test_job_is_within_the_guarantee_if_it_fits_beside_earlier_jobs_of_its_team():
+    office = office_with_jobs(
         spec("req-1", team="a", tasks=6),
         spec("req-2", team="a", tasks=5),
         spec("req-3", team="a", tasks=1),
@@ -33,47 +33,50 @@
         spec("req-6", team="b", tasks=9),
         spec("req-7", team="c", tasks=1),
     )
-    # Nothing that a team's guarantee does not speak of is within it: req-6 uses no accelerator.
-    assert jobs_within_guarantee(o.replica.open_jobs.values(), TEAMS) == {"req-1", "req-4"}
-    o.put("j/req-1", JobRecord(spec("req-1", team="a", tasks=6), 0, JobState.DONE, 9))
-    assert jobs_within_guarantee(o.replica.open_jobs.values(), TEAMS) == {"req-2", "req-3", "req-4"}
+    # A job that uses none of the guaranteed resources is not within the guarantee: req-6 uses no accelerator.
+    assert jobs_within_guarantee(office.replica.open_jobs.values(), TEAMS) == {"req-1", "req-4"}
+    office.put("j/req-1", JobRecord(spec("req-1", team="a", tasks=6), 0, JobState.DONE, 9))
+    assert jobs_within_guarantee(office.replica.open_jobs.values(), TEAMS) == {"req-2", "req-3", "req-4"}
 
 
 @given(
     st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 6), st.integers(0, 2)), max_size=12),
     st.lists(st.integers(0, 11), max_size=12),
 )
-def test_what_is_within_stays_within_as_earlier_jobs_end_and_is_reckoned_as_if_afresh(jobs, ends):
+def test_jobs_stay_within_the_guarantee_when_earlier_jobs_end(jobs, ended_jobs):
     specs = [
         spec(f"req-{n}", team=team, tasks=tasks, gpus=float(gpus))
         for n, (team, tasks, gpus) in enumerate(jobs)
     ]
-    o = office(*specs)
-    for n in ends:
-        before = jobs_within_guarantee(o.replica.open_jobs.values(), TEAMS)
+    office = office_with_jobs(*specs)
+    for n in ended_jobs:
+        before = jobs_within_guarantee(office.replica.open_jobs.values(), TEAMS)
         if n < len(specs):
-            o.put(f"j/req-{n}", JobRecord(specs[n], n, JobState.DONE, 99))
-        now = jobs_within_guarantee(o.replica.open_jobs.values(), TEAMS)
-        assert before & o.replica.open_jobs.keys() <= now
-        assert {ref for ref in o.replica.open_jobs if o.replica.guaranteed_start_within_us(ref)} == now
+            office.put(f"j/req-{n}", JobRecord(specs[n], n, JobState.DONE, 99))
+        now = jobs_within_guarantee(office.replica.open_jobs.values(), TEAMS)
+        assert before & office.replica.open_jobs.keys() <= now
+        assert {
+            job_id for job_id in office.replica.open_jobs if office.replica.guaranteed_start_within_us(job_id)
+        } == now
         used = {}
-        for ref in now:
-            job = o.replica.open_jobs[ref].spec
+        for job_id in now:
+            job = office.replica.open_jobs[job_id].spec
             cpus, gpus = used.get(job.team, (0.0, 0.0))
             used[job.team] = (cpus + job.tasks * job.cpus, gpus + job.tasks * job.gpus)
         assert all(cpus <= 100 or team != "a" for team, (cpus, _) in used.items())
         assert all(gpus <= 4 or team != "b" for team, (_, gpus) in used.items())
 
 
-def test_guarantee_is_one_more_time_to_start_within():
-    job, aims = spec(job_class="c"), {"c": (50 * SECOND_US,)}
-    assert scheduling_key(job, 0, SECOND_US, aims, 30 * SECOND_US) == scheduling_key(
+def test_guarantee_adds_a_start_objective():
+    job, objectives = spec(job_class="c"), {"c": (50 * SECOND_US,)}
+    assert scheduling_key(job, 0, SECOND_US, objectives, 30 * SECOND_US) == scheduling_key(
         job, 0, SECOND_US, {"c": (30 * SECOND_US, 50 * SECOND_US)}
     )
-    assert scheduling_key(job, 0, 40 * SECOND_US, aims, 30 * SECOND_US) == scheduling_key(
-        job, 0, 40 * SECOND_US, aims
+    assert scheduling_key(job, 0, 40 * SECOND_US, objectives, 30 * SECOND_US) == scheduling_key(
+        job, 0, 40 * SECOND_US, objectives
     )
-    # Without an aim of its class it comes before what has none, and after all of a higher priority.
+    # Without an objective of its class, the job precedes jobs without any objective and follows jobs of
+    # higher priority.
     assert scheduling_key(job, 0, 900 * SECOND_US, {}, 30 * SECOND_US) < scheduling_key(
         job, 0, 900 * SECOND_US, {}
     )
@@ -82,20 +85,20 @@
     )
 
 
-def test_team_that_floods_does_not_hold_back_others_within_their_guarantee():
-    # Seen: 270 places came free, 1,600 tasks of one team were before nine others, each within its own
-    # guarantee, and all 270 went to that team.
+def test_team_with_many_tasks_does_not_delay_others_within_their_guarantee():
+    # Seen: resources for 270 tasks became free. 1,600 tasks of one team were ahead of nine other teams, each
+    # within its guarantee, and all 270 places went to the first team.
     teams = {f"t{n}": Team(f"t{n}", cpus=100.0) for n in range(10)}
-    o = Office()
-    o.replica.quota_guarantees = QuotaGuarantees(teams, 30 * SECOND_US)
-    o.submit(spec("req-0", team="t0", tasks=1600), at=0)
+    office = Office()
+    office.replica.quota_guarantees = QuotaGuarantees(teams, 30 * SECOND_US)
+    office.submit(spec("req-0", team="t0", tasks=1600), at=0)
     for n in range(1, 10):
-        o.submit(spec(f"req-{n}", team=f"t{n}", tasks=10), at=n)
-    assert not o.route()
+        office.submit(spec(f"req-{n}", team=f"t{n}", tasks=10), at=n)
+    assert not office.route()
     for n in range(90):
-        o.machine(f"m{n}", n % 2)
-    routes = o.route()
+        office.machine(f"m{n}", n % 2)
+    routes = office.route()
     for n in range(1, 10):
-        assert sum(m.bit_count() for (ref, _), m in routes.items() if ref == f"req-{n}") == 10
-    flood = sum(m.bit_count() for (ref, _), m in routes.items() if ref == "req-0")
-    assert 180 <= flood <= 180 + 12
+        assert sum(tasks.bit_count() for (job_id, _), tasks in routes.items() if job_id == f"req-{n}") == 10
+    first_team_tasks = sum(tasks.bit_count() for (job_id, _), tasks in routes.items() if job_id == "req-0")
+    assert 180 <= first_team_tasks <= 180 + 12
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -1,4 +1,4 @@
-"""State machines: each pair of states, and each transition of the tables of jobs, attempts and gangs."""
+"""Tests of the state machines of jobs, attempts and gangs, over all pairs of states."""
 
 from enum import StrEnum
 from itertools import product
@@ -14,7 +14,7 @@
 from pearstep.state.job import JOB_TRANSITIONS
 from tests.world import spec
 
-# Every change of state that is allowed, beside staying; all others are faults.
+# All allowed changes of state; keeping the state is always allowed, every other change is an error.
 ALLOWED = {
     JOB_TRANSITIONS: {("queued", "done"), ("queued", "cancelled")},
     ATTEMPT_TRANSITIONS: {
@@ -51,29 +51,29 @@
 
 
 class Subject:
-    """Anything with a state."""
+    """An object with a state."""
 
     def __init__(self, state):
-        """Begin in a state."""
+        """Set the initial state."""
         self.state = state
 
 
 @pytest.mark.parametrize("table", STATES, ids=lambda table: table.name)
-def test_a_table_lists_every_state_and_each_can_come_to_a_final_one(table):
+def test_table_lists_every_state_and_a_final_state_is_reachable_from_each(table):
     assert set(table.transitions) == set(STATES[table])
-    final = {state for state, following in table.transitions.items() if not following}
+    final = {state for state, next_states in table.transitions.items() if not next_states}
     assert final
     for state in table.transitions:
-        reached, waiting = {state}, [state]
-        while waiting:
-            new = set(table.transitions[waiting.pop()]) - reached
-            reached |= new
-            waiting += new
+        reached, unvisited = {state}, [state]
+        while unvisited:
+            newly_reached = set(table.transitions[unvisited.pop()]) - reached
+            reached |= newly_reached
+            unvisited += newly_reached
         assert reached & final
 
 
 @pytest.mark.parametrize("table, before, after", PAIRS)
-def test_only_the_listed_transitions_are_made(table, before, after):
+def test_only_listed_transitions_are_allowed(table, before, after):
     subject = Subject(before)
     if before == after or (before, after) in ALLOWED[table]:
         table.check(before, after)
@@ -86,19 +86,19 @@
     assert subject.state == before
 
 
-def test_an_invalid_transition_is_an_error_of_the_domain():
+def test_invalid_transition_is_a_domain_error():
     assert issubclass(InvalidTransitionError, DomainError)
 
 
 def attempt(phase, stopping=False):
-    """An attempt of a gang's task that reports this phase."""
-    made = TaskAttempt(spec(), 0, "m0", 1, 1, 0, 0)
-    made.phase = phase
-    made.stop_grace_us = 1 if stopping else None
-    return made
+    """Return an attempt of a gang's task that reports this phase."""
+    task_attempt = TaskAttempt(spec(), 0, "m0", 1, 1, 0, 0)
+    task_attempt.phase = phase
+    task_attempt.stop_grace_us = 1 if stopping else None
+    return task_attempt
 
 
-GANGS = {
+GANG_CASES = {
     "no attempt": (2, False, []),
     "some tasks placed": (2, False, [attempt("running")]),
     "all placed": (2, False, [attempt("running"), attempt("")]),
@@ -106,8 +106,8 @@
     "one is being stopped": (2, False, [attempt("running"), attempt("running", stopping=True)]),
     "done": (2, True, [attempt("running")]),
 }
-# The state that follows; None: the gang's table does not allow it.
-FOLLOWING = {
+# The next state for each current state in the order of ``GangState``; None: not allowed.
+NEXT_STATES = {
     "no attempt": ["waiting", "waiting", "waiting", "waiting", None],
     "some tasks placed": ["breaking", "breaking", "breaking", "breaking", None],
     "all placed": ["forming", "forming", "running", "breaking", None],
@@ -117,15 +117,15 @@
 }
 
 
-@pytest.mark.parametrize("case", GANGS)
+@pytest.mark.parametrize("case", GANG_CASES)
 @pytest.mark.parametrize("position, state", list(enumerate(GangState)))
-def test_a_gang_follows_its_attempts_from_each_state(case, position, state):
+def test_gang_state_follows_from_its_attempts_in_each_state(case, position, state):
     gang = Gang()
     gang.state = state
-    expected = FOLLOWING[case][position]
+    expected = NEXT_STATES[case][position]
     if expected is None:
         with pytest.raises(InvalidTransitionError):
-            gang.update(*GANGS[case])
+            gang.update(*GANG_CASES[case])
         assert gang.state == GangState.COMPLETE
         return
-    assert gang.update(*GANGS[case]) == gang.state == expected
+    assert gang.update(*GANG_CASES[case]) == gang.state == expected
