--- a/pearstep/controller/cancellation_exchange.py
+++ b/pearstep/controller/cancellation_exchange.py
@@ -61,7 +61,7 @@
             self.apply(page.cancelled)
             after = max([after, *(job.version for job in page.cancelled)])
             if not page.more:
-                self._staleness_bound.peer_vouched(peer.node, sent_us, self._now_us(), page.uptime_us)
+                self._staleness_bound.record_peer_answer(peer.node, sent_us, self._now_us(), page.uptime_us)
                 return
             page = await self._peers.query(peer.node, PeerQuery(workers=False, after=after))
 
--- a/pearstep/failure_detection/__init__.py
+++ b/pearstep/failure_detection/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller may conclude from silence: timeouts, staleness, reachability."""
+"""Failure detection of a controller: timeouts, replica staleness, reachability of neighbours."""
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -61,16 +61,16 @@
 def test_word_of_all_peers_counts_from_when_they_were_asked_and_of_some_not_at_all():
     k = StalenessBound(24 * SECOND_US, ["a", "b"], 0)
     k.read_completed(10 * SECOND_US)
-    k.peer_vouched("a", 30 * SECOND_US, 31 * SECOND_US, None)
+    k.record_peer_answer("a", 30 * SECOND_US, 31 * SECOND_US, None)
     assert k.all_complete_through_us() == 10 * SECOND_US and k.exceeded(35 * SECOND_US)
-    k.peer_vouched("b", 32 * SECOND_US, 33 * SECOND_US, None)
+    k.record_peer_answer("b", 32 * SECOND_US, 33 * SECOND_US, None)
     assert (
         k.all_complete_through_us() == 30 * SECOND_US
         and not k.exceeded(54 * SECOND_US)
         and k.exceeded(54 * SECOND_US + 1)
     )
     k.read_completed(5 * SECOND_US)
-    k.peer_vouched("c", 90 * SECOND_US, 90 * SECOND_US, None)
+    k.record_peer_answer("c", 90 * SECOND_US, 90 * SECOND_US, None)
     assert k.all_complete_through_us() == 30 * SECOND_US
     # With no other node there is nobody who could have told what this one does not know.
     assert not StalenessBound(24 * SECOND_US, [], 0).exceeded(1 << 60)
@@ -80,10 +80,10 @@
     k = StalenessBound(24 * SECOND_US, ["a"], 0)
     k.read_completed(10 * SECOND_US)
     # It began at 11 s: what its former life told since 10 s is lost.
-    k.peer_vouched("a", 40 * SECOND_US, 40 * SECOND_US, 29 * SECOND_US)
+    k.record_peer_answer("a", 40 * SECOND_US, 40 * SECOND_US, 29 * SECOND_US)
     assert k.all_complete_through_us() == 10 * SECOND_US
     # It began before that: nothing was told since.
-    k.peer_vouched("a", 40 * SECOND_US, 40 * SECOND_US, 31 * SECOND_US)
+    k.record_peer_answer("a", 40 * SECOND_US, 40 * SECOND_US, 31 * SECOND_US)
     assert k.all_complete_through_us() == 40 * SECOND_US
 
 
--- a/tests/test_knowledge_model.py
+++ b/tests/test_knowledge_model.py
@@ -70,9 +70,9 @@
     """The holder's, as it stands."""
     k = StalenessBound(LIMIT, ["0", "1"], 0)
     k.last_read_us = s.read_at
-    k.vouched_us = {"0": s.vouched[0], "1": s.vouched[1]}
+    k.last_peer_answer_us = {"0": s.vouched[0], "1": s.vouched[1]}
     if "every peer" not in guards:
-        k.all_complete_through_us = lambda: max(k.last_read_us, *k.vouched_us.values())  # type: ignore[method-assign]
+        k.all_complete_through_us = lambda: max(k.last_read_us, *k.last_peer_answer_us.values())  # type: ignore[method-assign]
     if "too old" not in guards:
         k.exceeded = lambda now_us: False  # type: ignore[method-assign]
     return k
@@ -86,10 +86,10 @@
         return s._replace(knows=s.knows or asked.said, read_at=max(s.read_at, sent))
     k = knowledge(s, guards)
     up = asked.up if "empty" in guards else None
-    k.peer_vouched(str(asked.who), asked.sent if "sent" in guards else s.now, s.now, up)
+    k.record_peer_answer(str(asked.who), asked.sent if "sent" in guards else s.now, s.now, up)
     return s._replace(
         knows=s.knows or (bool(asked.said) and "merged" in guards),
-        vouched=(k.vouched_us["0"], k.vouched_us["1"]),
+        vouched=(k.last_peer_answer_us["0"], k.last_peer_answer_us["1"]),
     )
 
 
