--- a/pearstep/failure_detection/timeouts.py
+++ b/pearstep/failure_detection/timeouts.py
@@ -70,7 +70,7 @@
     silent_us: int
     # The length of a process pause after which the replica must be reread.
     process_pause_us: int
-    # How long peers must report that they reach a neighbour before this node, which does not, releases leases.
+    # How long peers must report that they reach a neighbour before this node releases its leases.
     peer_agreement_us: int
     # How long an agent whose owner does not answer is redirected to other controllers.
     redirect_us: int
