--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -1,4 +1,4 @@
-"""How a node stands: the state machine of gaps and of neighbours that it alone does not reach."""
+"""Tests of node health: process pauses, and neighbours that only this node does not reach."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,83 +9,102 @@
 NEIGHBOURS = (Neighbour.STATE, Neighbour.WORKERS, Neighbour.CLOUD)
 
 
-def reach():
+def make_reachability():
     return Reachability(
         {Neighbour.STATE: 6 * SECOND_US, Neighbour.WORKERS: 0, Neighbour.CLOUD: 3 * SECOND_US}, 12 * SECOND_US
     )
 
 
-def follow(r, neighbour, begin_s, end_s, peers_reach):
-    """Half-second looks while the neighbour does not answer us."""
-    for half in range(int(begin_s * 2), int(end_s * 2)):
-        now = half * SECOND_US // 2
-        r.record_contact(neighbour, False, now)
-        if neighbour in r.failing_neighbours(now):
-            r.record_peer_observation(neighbour, peers_reach(now), now)
-        r.update(now)
-    return r.state
-
-
-def ready_for(r, end_s, peers_reach):
-    """Half-second looks without the state service: when users were sent elsewhere, and parts given up."""
-    away = gone = None
-    for half in range(int(end_s * 2)):
-        now = half * SECOND_US // 2
-        r.record_contact(Neighbour.STATE, False, now)
-        if Neighbour.STATE in r.neighbours_to_verify(now):
-            r.record_peer_observation(Neighbour.STATE, peers_reach(now), now)
-        r.update(now)
-        away = now / SECOND_US if away is None and not r.can_serve_users(now) else away
-        gone = now / SECOND_US if gone is None and r.state == NodeHealth.PARTITIONED else gone
-    return away, gone
-
-
-def test_users_leave_a_node_that_alone_lacks_the_state_service_long_before_its_parts_do():
-    away, gone = ready_for(reach(), 12, lambda now: True)
-    assert away <= 1.5 < 6 <= gone
-    # In an outage for everyone nobody leaves; nor for a peer that is served a moment before the others.
-    assert ready_for(reach(), 60, lambda now: False) == (None, None)
-    r = reach()
-    assert ready_for(r, 10, lambda now: now == 19 * SECOND_US // 2) == (None, None)
-    # Back, it serves at once.
-    r = reach()
-    ready_for(r, 3, lambda now: True)
-    r.record_contact(Neighbour.STATE, True, 3 * SECOND_US)
-    r.update(3 * SECOND_US)
-    assert r.can_serve_users(3 * SECOND_US)
-
-
-def test_neighbour_that_nobody_reaches_is_an_outage_and_everyone_goes_on():
+def fail_contacts(reachability, neighbour, begin_s, end_s, peers_reach):
+    """Update every half second while the neighbour does not answer; return the state."""
+    for half_second in range(int(begin_s * 2), int(end_s * 2)):
+        now = half_second * SECOND_US // 2
+        reachability.record_contact(neighbour, False, now)
+        if neighbour in reachability.failing_neighbours(now):
+            reachability.record_peer_observation(neighbour, peers_reach(now), now)
+        reachability.update(now)
+    return reachability.state
+
+
+def run_without_state_service(reachability, end_s, peers_reach):
+    """Update every half second without the state service.
+
+    Returns:
+        When users were redirected and when the node became partitioned; None: never.
+    """
+    redirected_at_s = partitioned_at_s = None
+    for half_second in range(int(end_s * 2)):
+        now = half_second * SECOND_US // 2
+        reachability.record_contact(Neighbour.STATE, False, now)
+        if Neighbour.STATE in reachability.neighbours_to_verify(now):
+            reachability.record_peer_observation(Neighbour.STATE, peers_reach(now), now)
+        reachability.update(now)
+        redirected_at_s = (
+            now / SECOND_US
+            if redirected_at_s is None and not reachability.can_serve_users(now)
+            else redirected_at_s
+        )
+        partitioned_at_s = (
+            now / SECOND_US
+            if partitioned_at_s is None and reachability.state == NodeHealth.PARTITIONED
+            else partitioned_at_s
+        )
+    return redirected_at_s, partitioned_at_s
+
+
+def test_users_leave_a_node_without_state_service_long_before_its_shards():
+    redirected_at_s, partitioned_at_s = run_without_state_service(make_reachability(), 12, lambda now: True)
+    assert redirected_at_s <= 1.5 < 6 <= partitioned_at_s
+    # Users stay during an outage for all nodes, and if a peer is served slightly before the others.
+    assert run_without_state_service(make_reachability(), 60, lambda now: False) == (None, None)
+    reachability = make_reachability()
+    assert run_without_state_service(reachability, 10, lambda now: now == 19 * SECOND_US // 2) == (None, None)
+    # A node that reaches the state service again serves users at once.
+    reachability = make_reachability()
+    run_without_state_service(reachability, 3, lambda now: True)
+    reachability.record_contact(Neighbour.STATE, True, 3 * SECOND_US)
+    reachability.update(3 * SECOND_US)
+    assert reachability.can_serve_users(3 * SECOND_US)
+
+
+def test_node_stays_healthy_if_no_peer_reaches_the_neighbour():
     for neighbour in NEIGHBOURS:
-        assert follow(reach(), neighbour, 10, 100, lambda now: False) == NodeHealth.HEALTHY
+        assert fail_contacts(make_reachability(), neighbour, 10, 100, lambda now: False) == NodeHealth.HEALTHY
 
 
-def test_neighbour_that_peers_reach_is_our_trouble_after_patience_and_agreement():
-    r = reach()
-    assert follow(r, Neighbour.STATE, 10, 17, lambda now: True) == NodeHealth.HEALTHY
-    assert follow(r, Neighbour.STATE, 17, 20, lambda now: True) == NodeHealth.PARTITIONED
-    assert not r.may_claim(20 * SECOND_US)
+def test_node_is_partitioned_after_failure_timeout_and_peer_agreement():
+    reachability = make_reachability()
+    assert fail_contacts(reachability, Neighbour.STATE, 10, 17, lambda now: True) == NodeHealth.HEALTHY
+    assert fail_contacts(reachability, Neighbour.STATE, 17, 20, lambda now: True) == NodeHealth.PARTITIONED
+    assert not reachability.may_claim(20 * SECOND_US)
 
 
-def test_peer_served_a_moment_earlier_at_the_end_of_an_outage_is_no_reason_to_give_up():
-    r = reach()
-    follow(r, Neighbour.STATE, 10, 40, lambda now: now > 38.4 * SECOND_US)
-    assert r.state == NodeHealth.HEALTHY
-    r.record_contact(Neighbour.STATE, True, 40 * SECOND_US)
-    assert r.update(40 * SECOND_US) == NodeHealth.HEALTHY and r.may_claim(40 * SECOND_US)
+def test_peer_served_slightly_earlier_after_an_outage_causes_no_partition():
+    reachability = make_reachability()
+    fail_contacts(reachability, Neighbour.STATE, 10, 40, lambda now: now > 38.4 * SECOND_US)
+    assert reachability.state == NodeHealth.HEALTHY
+    reachability.record_contact(Neighbour.STATE, True, 40 * SECOND_US)
+    assert reachability.update(40 * SECOND_US) == NodeHealth.HEALTHY and reachability.may_claim(
+        40 * SECOND_US
+    )
 
 
-def test_way_back_that_fails_again_is_tried_more_rarely():
-    r = reach()
-    pauses = []
+def test_claim_backoff_doubles_with_repeated_partitions():
+    reachability = make_reachability()
+    backoffs = []
     for begin in (10, 60, 130):
-        assert follow(r, Neighbour.WORKERS, begin, begin + 5, lambda now: True) == NodeHealth.PARTITIONED
-        back = (begin + 5) * SECOND_US
-        r.record_contact(Neighbour.WORKERS, True, back)
-        r.update(back)
-        pauses.append((r.may_claim_at_us - back) // SECOND_US)
-        assert not r.may_claim(back) and r.may_claim(r.may_claim_at_us)
-    assert pauses == [12, 24, 48]
+        assert (
+            fail_contacts(reachability, Neighbour.WORKERS, begin, begin + 5, lambda now: True)
+            == NodeHealth.PARTITIONED
+        )
+        recovered_us = (begin + 5) * SECOND_US
+        reachability.record_contact(Neighbour.WORKERS, True, recovered_us)
+        reachability.update(recovered_us)
+        backoffs.append((reachability.may_claim_at_us - recovered_us) // SECOND_US)
+        assert not reachability.may_claim(recovered_us) and reachability.may_claim(
+            reachability.may_claim_at_us
+        )
+    assert backoffs == [12, 24, 48]
 
 
 events = st.lists(
@@ -101,45 +120,49 @@
 
 
 @given(events)
-def test_whatever_happens_a_node_claims_nothing_while_in_doubt_and_judges_nothing_before_it_settles(steps):
-    r, now, doubtful = reach(), 100 * SECOND_US, False
+def test_paused_node_neither_claims_nor_acts_before_its_resume_is_completed(steps):
+    reachability, now, paused = make_reachability(), 100 * SECOND_US, False
     for kind, what, ok in steps:
         if kind == "note":
-            r.record_contact(what, ok, now)
+            reachability.record_contact(what, ok, now)
         elif kind == "heard":
-            r.record_peer_observation(what, ok, now)
+            reachability.record_peer_observation(what, ok, now)
         elif kind == "woke":
-            r.process_resumed(now)
-            doubtful = True
+            reachability.process_resumed(now)
+            paused = True
         elif kind == "settle":
-            r.resume_completed(now)
-            doubtful = False
+            reachability.resume_completed(now)
+            paused = False
         else:
             now += what
-            r.update(now)
-        state = r.update(now)
-        assert (state == NodeHealth.RESUMED) <= doubtful
-        if doubtful:
-            assert not r.may_claim(now) and (state == NodeHealth.PARTITIONED or not r.may_act())
+            reachability.update(now)
+        state = reachability.update(now)
+        assert (state == NodeHealth.RESUMED) <= paused
+        if paused:
+            assert not reachability.may_claim(now) and (
+                state == NodeHealth.PARTITIONED or not reachability.may_act()
+            )
         if state == NodeHealth.PARTITIONED:
-            assert not r.may_claim(now) and set(r.unreachable) <= set(r.failing_since_us)
-        if not r.failing_since_us and not doubtful:
+            assert not reachability.may_claim(now) and set(reachability.unreachable) <= set(
+                reachability.failing_since_us
+            )
+        if not reachability.failing_since_us and not paused:
             assert state == NodeHealth.HEALTHY
 
 
-def test_node_without_state_service_and_peers_takes_no_users_and_keeps_its_parts():
-    r = reach()
-    for half in range(2, 60):
-        now = half * SECOND_US // 2
-        r.record_contact(Neighbour.STATE, False, now)
-        if Neighbour.STATE in r.neighbours_to_verify(now):
-            r.record_peer_round(False)
-            r.record_peer_observation(Neighbour.STATE, False, now)
-        assert r.update(now) == NodeHealth.HEALTHY
-    assert not r.can_serve_users(30 * SECOND_US)
-    # A peer answers that does not reach it either: an outage for all, and to leave helps nobody.
-    r.record_peer_round(True)
-    assert r.can_serve_users(30 * SECOND_US)
-    r.record_peer_round(False)
-    r.record_contact(Neighbour.STATE, True, 31 * SECOND_US)
-    assert r.can_serve_users(31 * SECOND_US)
+def test_isolated_node_redirects_users_and_keeps_its_shards():
+    reachability = make_reachability()
+    for half_second in range(2, 60):
+        now = half_second * SECOND_US // 2
+        reachability.record_contact(Neighbour.STATE, False, now)
+        if Neighbour.STATE in reachability.neighbours_to_verify(now):
+            reachability.record_peer_round(False)
+            reachability.record_peer_observation(Neighbour.STATE, False, now)
+        assert reachability.update(now) == NodeHealth.HEALTHY
+    assert not reachability.can_serve_users(30 * SECOND_US)
+    # A peer answers that does not reach it either: in an outage for all, redirecting users does not help.
+    reachability.record_peer_round(True)
+    assert reachability.can_serve_users(30 * SECOND_US)
+    reachability.record_peer_round(False)
+    reachability.record_contact(Neighbour.STATE, True, 31 * SECOND_US)
+    assert reachability.can_serve_users(31 * SECOND_US)
