--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -1,9 +1,10 @@
-"""An exhaustive model of what may be believed of one machine: one worker, two owners one after the other,
-copies of every report at any time, a new session, a start on its way, a takeover, a deletion.
+"""Exhaustive model of the reports of one machine: one agent, two successive shard owners, copies of every
+report at any time, a new agent session, a start command in flight, a takeover and a deletion.
 
-It mirrors ``shard/heartbeats.py`` and the deletion in ``shard/machine_lifecycle.py`` rule by rule; each
-guard, left out, must be caught. The task has one attempt. A place that is free may be taken by another
-machine at once, so "free while it runs, or while it can still begin" is "ran twice".
+It mirrors ``shard/heartbeats.py`` and the deletion in ``shard/machine_lifecycle.py`` rule by rule; without
+any one of the guards it must find a violation. The task has one attempt. A free placement may be given to
+another machine at once, so a placement that is free while the task runs or can still start means that the
+task runs twice.
 """
 
 from typing import NamedTuple
@@ -12,126 +13,150 @@
 
 from tests.world import walk
 
-MOST_SEQ = 7
+MAX_SEQUENCE = 7
 
 
-class Message(NamedTuple):
-    """A report: session, number, highest token seen, whether the task is there."""
+class Heartbeat(NamedTuple):
+    """A heartbeat: session, sequence number, highest fencing token seen, and whether the task runs."""
 
     session: int
-    seq: int
+    sequence: int
     token: int
-    runs: bool
+    running: bool
 
 
 class State(NamedTuple):
-    """``place``: the session in the placement record, 0: none; ``heard``: the owner has seen the task there;
-    ``start``: a direct start on its way, with its session and token.
+    """State of the model.
+
+    ``placed_session``: the session in the placement record, 0: none; ``observed``: whether a heartbeat showed
+    the task to the owner; ``start_command``: session and token of a start command in flight.
     """
 
     session: int = 1
-    seq: int = 0
+    sequence: int = 0
     token: int = 0
-    runs: bool = False
+    running: bool = False
     alive: bool = True
     owner: int = 1
-    known: tuple[int, int] = (0, -1)
+    last_heartbeat: tuple[int, int] = (0, -1)
     confirmed: bool = False
     gone: bool = False
     recorded: bool = False
-    place: int = 0
-    heard: bool = False
-    start: tuple[int, int] | None = None
-    copies: frozenset[Message] = frozenset()
+    placed_session: int = 0
+    observed: bool = False
+    start_command: tuple[int, int] | None = None
+    heartbeat_copies: frozenset[Heartbeat] = frozenset()
 
 
 GUARDS = ("newer", "confirmed", "gone", "heard", "earlier session")
 
 
-def takes(s: State, m: Message, guards: frozenset[str]) -> State:
-    """The owner takes in a report."""
-    if s.gone and "gone" in guards:
-        return s
-    if (m.session, m.seq) <= s.known and "newer" in guards:
-        return s
-    if m.session > s.known[0] and s.place and (s.place < m.session or "earlier session" not in guards):
-        s = s._replace(place=0, heard=False)
-    s = s._replace(known=(m.session, m.seq), confirmed=s.confirmed or m.token == s.owner)
-    if s.confirmed or "confirmed" not in guards:
-        s = s._replace(recorded=True)
-    if m.runs and s.place == m.session:
-        s = s._replace(heard=True)
-    elif not m.runs and s.place and s.confirmed and (s.heard or "heard" not in guards):
-        s = s._replace(place=0, heard=False)
-    return s
-
-
-def steps(s: State, guards: frozenset[str]) -> list[State]:
-    """All that may happen next."""
-    out = []
-    if s.alive and s.seq < MOST_SEQ:
-        report = Message(s.session, s.seq + 1, s.token, s.runs)
-        sent = s._replace(seq=s.seq + 1, copies=s.copies | {report})
-        out.append(sent)  # it went to another node, or is held back
-        took = takes(sent, report, guards)
-        out.append(took)  # its answer does not arrive
-        if not took.gone and took.owner >= took.token:
-            begins = took.place == took.session and not took.heard
-            out.append(took._replace(token=took.owner, runs=took.runs or begins))
-    out += [takes(s, copy, guards) for copy in s.copies]
-    if s.confirmed and s.recorded and not s.place and not s.runs and s.known[0]:
-        out.append(s._replace(place=s.known[0], heard=False))
-    if s.place and not s.heard and s.start is None and s.confirmed:
-        out.append(s._replace(start=(s.place, s.owner)))
-    if s.start is not None:
-        done = s._replace(start=None)
-        if s.alive and s.start[0] == s.session and s.start[1] >= s.token:
-            done = done._replace(token=s.start[1], runs=True)
-        out.append(done)
-    if s.alive and s.session == 1:
-        out.append(s._replace(session=2, runs=False))  # its lease is over
-    if s.owner == 1:
-        # The next owner knows what is recorded, and nothing else.
-        out.append(s._replace(owner=2, known=(0, -1), confirmed=False, gone=False, heard=False))
-    if s.alive and s.recorded:
-        # The cloud has confirmed that the machine is gone, and all that was on it.
-        out.append(
-            s._replace(
+def apply_heartbeat(state: State, heartbeat: Heartbeat, guards: frozenset[str]) -> State:
+    """Apply a heartbeat at the owner."""
+    if state.gone and "gone" in guards:
+        return state
+    if (heartbeat.session, heartbeat.sequence) <= state.last_heartbeat and "newer" in guards:
+        return state
+    if (
+        heartbeat.session > state.last_heartbeat[0]
+        and state.placed_session
+        and (state.placed_session < heartbeat.session or "earlier session" not in guards)
+    ):
+        state = state._replace(placed_session=0, observed=False)
+    state = state._replace(
+        last_heartbeat=(heartbeat.session, heartbeat.sequence),
+        confirmed=state.confirmed or heartbeat.token == state.owner,
+    )
+    if state.confirmed or "confirmed" not in guards:
+        state = state._replace(recorded=True)
+    if heartbeat.running and state.placed_session == heartbeat.session:
+        state = state._replace(observed=True)
+    elif (
+        not heartbeat.running
+        and state.placed_session
+        and state.confirmed
+        and (state.observed or "heard" not in guards)
+    ):
+        state = state._replace(placed_session=0, observed=False)
+    return state
+
+
+def next_states(state: State, guards: frozenset[str]) -> list[State]:
+    """Return all possible next states."""
+    following = []
+    if state.alive and state.sequence < MAX_SEQUENCE:
+        heartbeat = Heartbeat(state.session, state.sequence + 1, state.token, state.running)
+        sent = state._replace(
+            sequence=state.sequence + 1, heartbeat_copies=state.heartbeat_copies | {heartbeat}
+        )
+        following.append(sent)  # it goes to another node, or is delayed
+        applied = apply_heartbeat(sent, heartbeat, guards)
+        following.append(applied)  # the answer is lost
+        if not applied.gone and applied.owner >= applied.token:
+            starts = applied.placed_session == applied.session and not applied.observed
+            following.append(applied._replace(token=applied.owner, running=applied.running or starts))
+    following += [apply_heartbeat(state, heartbeat, guards) for heartbeat in state.heartbeat_copies]
+    if (
+        state.confirmed
+        and state.recorded
+        and not state.placed_session
+        and not state.running
+        and state.last_heartbeat[0]
+    ):
+        following.append(state._replace(placed_session=state.last_heartbeat[0], observed=False))
+    if state.placed_session and not state.observed and state.start_command is None and state.confirmed:
+        following.append(state._replace(start_command=(state.placed_session, state.owner)))
+    if state.start_command is not None:
+        executed = state._replace(start_command=None)
+        if state.alive and state.start_command[0] == state.session and state.start_command[1] >= state.token:
+            executed = executed._replace(token=state.start_command[1], running=True)
+        following.append(executed)
+    if state.alive and state.session == 1:
+        following.append(state._replace(session=2, running=False))  # its lease has expired
+    if state.owner == 1:
+        # The next owner has only the records.
+        following.append(
+            state._replace(owner=2, last_heartbeat=(0, -1), confirmed=False, gone=False, observed=False)
+        )
+    if state.alive and state.recorded:
+        # The cloud has confirmed the deletion of the machine with all its tasks.
+        following.append(
+            state._replace(
                 alive=False,
-                runs=False,
+                running=False,
                 gone=True,
                 recorded=False,
-                place=0,
-                heard=False,
-                start=None,
-                known=(0, -1),
+                placed_session=0,
+                observed=False,
+                start_command=None,
+                last_heartbeat=(0, -1),
                 confirmed=False,
             )
         )
-    return out
+    return following
 
 
-def wrong(s: State) -> str:
-    """What must never be."""
-    if s.runs and not s.place:
+def find_violation(state: State) -> str:
+    """Return the violation in this state; empty if there is none."""
+    if state.running and not state.placed_session:
         return "free while it runs"
-    if s.recorded and not s.alive:
+    if state.recorded and not state.alive:
         return "a machine that is gone is taken in"
-    if s.place and not s.alive:
+    if state.placed_session and not state.alive:
         return "work for a machine that is gone"
     return ""
 
 
 def explore(guards: frozenset[str]) -> tuple[int, str]:
-    """How many states there are, and the first that is wrong."""
-    return walk(State(), lambda s: steps(s, guards), wrong)
+    """Return the number of states and the first violation."""
+    return walk(State(), lambda state: next_states(state, guards), find_violation)
 
 
-def test_whatever_comes_late_nothing_is_believed_that_is_not_so():
-    states, found = explore(frozenset(GUARDS))
-    assert found == "" and states > 10_000
+def test_late_heartbeats_and_commands_cause_no_violation():
+    states, violation = explore(frozenset(GUARDS))
+    assert violation == "" and states > 10_000
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_each_guard_is_needed(guard):
+def test_violation_is_found_without_any_one_guard(guard):
     assert explore(frozenset(GUARDS) - {guard})[1] != ""
