--- a/pearstep/federation/desk.py
+++ b/pearstep/federation/desk.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from pearstep.federation.books import Books, Entry, Need, Said
+from pearstep.federation.ledger import Books, Entry, Need, Said
 from pearstep.federation.link import VERSION, Envelope, Offer
 from pearstep.federation.peers import BACK, Patience, Peer
 
--- a/pearstep/federation/facts.py
+++ b/pearstep/federation/facts.py
@@ -11,8 +11,8 @@
 
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import peers as pe
-from pearstep.federation.books import HomeBook
 from pearstep.federation.desk import Desk
+from pearstep.federation.ledger import HomeBook
 from pearstep.federation.replica import Loans
 from pearstep.transport.http import Answer
 
--- a/pearstep/federation/link.py
+++ b/pearstep/federation/link.py
@@ -14,8 +14,8 @@
 from tornado.httputil import HTTPServerRequest
 from tornado.iostream import IOStream
 
-from pearstep.federation.books import Said
 from pearstep.federation.keys import Keys, SiteKeyError, server_name
+from pearstep.federation.ledger import Said
 from pearstep.transport.http import Answer, Client, Server
 
 LOANS = "/v1/loans"
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -19,11 +19,11 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff as ho
 from pearstep.federation import peers as pe
-from pearstep.federation.books import Books, Entry, GuestBook, Need
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
 from pearstep.federation.facts import Facts, answer
 from pearstep.federation.keys import Keys
+from pearstep.federation.ledger import Books, Entry, GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.overflow import Grant, Room, choose
 from pearstep.federation.reckon import Look, add, as_need, give_way, look, room, waiting, waiting_jobs
--- a/pearstep/federation/replica.py
+++ b/pearstep/federation/replica.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pearstep.federation import handoff as ho
-from pearstep.federation.books import GuestBook, HomeBook
+from pearstep.federation.ledger import GuestBook, HomeBook
 from pearstep.federation.overflow import Grant
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pearstep.federation import handoff as ho
-from pearstep.federation.books import FIRST_AGAIN_US, LONGEST_AGAIN_US, Books, Entry, Need
+from pearstep.federation.ledger import FIRST_AGAIN_US, LONGEST_AGAIN_US, Books, Entry, Need
 from pearstep.federation.overflow import Grant, Lend
 from pearstep.federation.peers import Patience, Peer
 
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -9,9 +9,9 @@
 from pearstep.archive.frames import pack
 from pearstep.archive.records import Append, Chunk, Key, Seal
 from pearstep.federation import handoff as ho
-from pearstep.federation.books import HomeBook, Need
 from pearstep.federation.carrying import LINGER_US, Carrying
 from pearstep.federation.handoff import HomeLoan
+from pearstep.federation.ledger import HomeBook, Need
 from pearstep.federation.link import Link
 from pearstep.federation.replica import Loans
 from pearstep.federation.writes import local_ref, team_of
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -9,11 +9,11 @@
 
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import carrying, facts, handoff, keys, link, writes
-from pearstep.federation.books import GuestBook, Need
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
 from pearstep.federation.facts import Facts
 from pearstep.federation.keys import SiteKeyError
+from pearstep.federation.ledger import GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.peers import Patience
 from pearstep.federation.replica import Loans
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -11,7 +11,7 @@
 from pearstep.archive import members
 from pearstep.archive.members import Here, MemberList
 from pearstep.archive.service import _Standing
-from pearstep.federation.books import GuestBook, HomeBook
+from pearstep.federation.ledger import GuestBook, HomeBook
 from pearstep.federation.replica import Loans, PeerRec
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -12,9 +12,9 @@
 from pearstep.emulator.cloud import free_port
 from pearstep.federation import handoff as ho
 from pearstep.federation import peers as pe
-from pearstep.federation.books import Books, Need, Said
 from pearstep.federation.desk import Desk
 from pearstep.federation.handoff import Message
+from pearstep.federation.ledger import Books, Need, Said
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
 from pearstep.federation.overflow import Grant, Lend
 from pearstep.federation.peers import Patience
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -8,8 +8,8 @@
 
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff as ho
-from pearstep.federation.books import Books, Entry, GuestBook, HomeBook, Need, Said
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
+from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need, Said
 from pearstep.federation.link import Envelope, decode, encode
 from pearstep.federation.overflow import Grant, Lend
 from pearstep.federation.terms import Term
