--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -19,6 +19,16 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff as ho
 from pearstep.federation import peers as pe
+from pearstep.federation.capacity_estimate import (
+    Look,
+    add,
+    as_need,
+    give_way,
+    look,
+    room,
+    waiting,
+    waiting_jobs,
+)
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
 from pearstep.federation.facts import Facts, answer
@@ -26,7 +36,6 @@
 from pearstep.federation.ledger import Books, Entry, GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.overflow import Grant, Room, choose
-from pearstep.federation.reckon import Look, add, as_need, give_way, look, room, waiting, waiting_jobs
 from pearstep.federation.replica import Loans
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
