--- a/measurements/federation_overflow.py
+++ b/measurements/federation_overflow.py
@@ -24,7 +24,7 @@
 from measurements.harness import say
 from pearstep.federation import handoff as ho
 from pearstep.federation.handoff import GuestLoan, HomeLoan
-from pearstep.federation.overflow import Grant, Policy, Room, Waiting, choose, offered
+from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 
 S = 1_000_000
 SLOTS = 100
--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -12,7 +12,7 @@
 from pearstep.domain.scheduling_order import StartObjectives
 from pearstep.federation import handoff as ho
 from pearstep.federation.ledger import GuestBook, Need
-from pearstep.federation.overflow import Grant, Waiting, offered
+from pearstep.federation.offload_selection import Grant, Waiting, offered
 from pearstep.federation.writes import borrowed
 from pearstep.leader.cluster_snapshot import ClusterSnapshot
 from pearstep.leader.route_planner import RoutePlanner
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -17,7 +17,7 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import handoff as ho
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
-from pearstep.federation.overflow import Grant, Lend
+from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.peers import Peer
 from pearstep.federation.terms import HomeTerm, Term
 
--- a/pearstep/federation/replica.py
+++ b/pearstep/federation/replica.py
@@ -13,7 +13,7 @@
 
 from pearstep.federation import handoff as ho
 from pearstep.federation.ledger import GuestBook, HomeBook
-from pearstep.federation.overflow import Grant
+from pearstep.federation.offload_selection import Grant
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
 
--- a/pearstep/federation/settings.py
+++ b/pearstep/federation/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pearstep.federation.overflow import Policy
+from pearstep.federation.offload_selection import Policy
 from pearstep.transport.settings_file import Address, NotNegative, Positive, PositiveInt, read_settings
 
 
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -10,7 +10,7 @@
 
 from pearstep.federation import handoff as ho
 from pearstep.federation.ledger import FIRST_AGAIN_US, LONGEST_AGAIN_US, Books, Entry, Need
-from pearstep.federation.overflow import Grant, Lend
+from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.peers import Patience, Peer
 
 S = 1_000_000
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -10,7 +10,7 @@
 from pearstep.federation import handoff as ho
 from pearstep.federation import peers as pe
 from pearstep.federation.handoff import GuestLoan, HomeLoan
-from pearstep.federation.overflow import Grant, Policy, Room, Waiting, choose, offered
+from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 from pearstep.federation.peers import Patience, Peer
 from pearstep.federation.terms import GuestTerm, HomeTerm, Term
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -15,7 +15,7 @@
 from pearstep.federation.capacity_estimate import Look, give_way, may_go, room, waiting
 from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need
-from pearstep.federation.overflow import Grant, Lend
+from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.replica import Loans, PeerRec
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -16,7 +16,7 @@
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import Books, Need, Said
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
-from pearstep.federation.overflow import Grant, Lend
+from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.peers import Patience
 from tests.test_keys import site, trust
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -11,7 +11,7 @@
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need, Said
 from pearstep.federation.link import Envelope, decode, encode
-from pearstep.federation.overflow import Grant, Lend
+from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.terms import Term
 from pearstep.federation.writes import borrowed_rec, guest_writes, local_ref
 from pearstep.state.records import JobRecord
