--- a/pearstep/federation/carrying.py
+++ b/pearstep/federation/carrying.py
@@ -24,7 +24,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.federation import handoff as ho
 from pearstep.federation.link import Link
-from pearstep.federation.replica import Loans
+from pearstep.federation.offload_records import Loans
 from pearstep.federation.writes import belongs, local_ref, team_of
 from pearstep.jobs.description import DescriptionError, decode, encode
 from pearstep.state.replica import Replica
--- a/pearstep/federation/facts.py
+++ b/pearstep/federation/facts.py
@@ -13,7 +13,7 @@
 from pearstep.federation import peers as pe
 from pearstep.federation.desk import Desk
 from pearstep.federation.ledger import HomeBook
-from pearstep.federation.replica import Loans
+from pearstep.federation.offload_records import Loans
 from pearstep.transport.http import Answer
 
 FACTS = "/v1/federation"
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -16,7 +16,7 @@
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import handoff as ho
 from pearstep.federation.ledger import Entry, GuestBook, HomeBook
-from pearstep.federation.replica import OPEN_HOME
+from pearstep.federation.offload_records import OPEN_HOME
 from pearstep.leader.route_plan import RoutePlan
 from pearstep.state.job import Job
 from pearstep.state.records import JobRecord
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -13,7 +13,7 @@
 from pearstep.federation.handoff import HomeLoan
 from pearstep.federation.ledger import HomeBook, Need
 from pearstep.federation.link import Link
-from pearstep.federation.replica import Loans
+from pearstep.federation.offload_records import Loans
 from pearstep.federation.writes import local_ref, team_of
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -15,8 +15,8 @@
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
+from pearstep.federation.offload_records import Loans
 from pearstep.federation.peers import Patience
-from pearstep.federation.replica import Loans
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -12,7 +12,7 @@
 from pearstep.archive.members import Here, MemberList
 from pearstep.archive.service import _Standing
 from pearstep.federation.ledger import GuestBook, HomeBook
-from pearstep.federation.replica import Loans, PeerRec
+from pearstep.federation.offload_records import Loans, PeerRec
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
 from pearstep.history.blocks import Final, pack, unpack
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -15,8 +15,8 @@
 from pearstep.federation.capacity_estimate import Look, give_way, may_go, room, waiting
 from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need
+from pearstep.federation.offload_records import Loans, PeerRec
 from pearstep.federation.offload_selection import Grant, Lend
-from pearstep.federation.replica import Loans, PeerRec
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.jobs.description import home_name
