--- a/pearstep/federation/desk.py
+++ b/pearstep/federation/desk.py
@@ -12,7 +12,7 @@
 
 from pearstep.federation.ledger import Books, Entry, Need, Said
 from pearstep.federation.link import VERSION, Envelope, Offer
-from pearstep.federation.peers import BACK, Patience, Peer
+from pearstep.federation.peer_health import BACK, Patience, Peer
 
 log = logging.getLogger("pearstep.federation")
 
--- a/pearstep/federation/facts.py
+++ b/pearstep/federation/facts.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPServerRequest
 
 from pearstep.domain.task_set import format_task_ranges
-from pearstep.federation import peers as pe
+from pearstep.federation import peer_health as pe
 from pearstep.federation.desk import Desk
 from pearstep.federation.ledger import HomeBook
 from pearstep.federation.offload_records import Loans
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -18,7 +18,7 @@
 from pearstep.federation import handoff as ho
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
 from pearstep.federation.offload_selection import Grant, Lend
-from pearstep.federation.peers import Peer
+from pearstep.federation.peer_health import Peer
 from pearstep.federation.terms import HomeTerm, Term
 
 FIRST_AGAIN_US, LONGEST_AGAIN_US = 1_000_000, 30_000_000
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -18,7 +18,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff as ho
-from pearstep.federation import peers as pe
+from pearstep.federation import peer_health as pe
 from pearstep.federation.capacity_estimate import (
     Look,
     add,
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -11,7 +11,7 @@
 from pearstep.federation import handoff as ho
 from pearstep.federation.ledger import FIRST_AGAIN_US, LONGEST_AGAIN_US, Books, Entry, Need
 from pearstep.federation.offload_selection import Grant, Lend
-from pearstep.federation.peers import Patience, Peer
+from pearstep.federation.peer_health import Patience, Peer
 
 S = 1_000_000
 NEED = Need(2.0, 0.0, 1.0)
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -8,10 +8,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from pearstep.federation import handoff as ho
-from pearstep.federation import peers as pe
+from pearstep.federation import peer_health as pe
 from pearstep.federation.handoff import GuestLoan, HomeLoan
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
-from pearstep.federation.peers import Patience, Peer
+from pearstep.federation.peer_health import Patience, Peer
 from pearstep.federation.terms import GuestTerm, HomeTerm, Term
 
 S = 1_000_000
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -16,7 +16,7 @@
 from pearstep.federation.ledger import GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
-from pearstep.federation.peers import Patience
+from pearstep.federation.peer_health import Patience
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -11,13 +11,13 @@
 
 from pearstep.emulator.cloud import free_port
 from pearstep.federation import handoff as ho
-from pearstep.federation import peers as pe
+from pearstep.federation import peer_health as pe
 from pearstep.federation.desk import Desk
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import Books, Need, Said
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
 from pearstep.federation.offload_selection import Grant, Lend
-from pearstep.federation.peers import Patience
+from pearstep.federation.peer_health import Patience
 from tests.test_keys import site, trust
 
 S = 1_000_000
