--- a/measurements/federation_cuts.py
+++ b/measurements/federation_cuts.py
@@ -29,8 +29,8 @@
 from pearstep.client.archive import ArchiveClient
 from pearstep.client.jobs import ClusterUnreachableError, JobsClient
 from pearstep.federation import handoff as ho
-from pearstep.federation.facts import FACTS
 from pearstep.federation.keys import Keys
+from pearstep.federation.operator_api import FACTS
 from pearstep.jobs.description import Description, Run
 from pearstep.local.layout import load, make, save
 from pearstep.transport.http import Client
--- a/pearstep/cli/peers.py
+++ b/pearstep/cli/peers.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from pearstep.cli.common import AWAY, NO, WRONG, Clients, command, fail, output, show
-from pearstep.federation.facts import FACTS
 from pearstep.federation.keys import NAME
 from pearstep.federation.offload_records import PeerRec
 from pearstep.federation.offload_selection import Grant
+from pearstep.federation.operator_api import FACTS
 from pearstep.transport.kv_client import CommitOutcome, open_kv_store
 from pearstep.transport.settings_file import Address
 
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -31,12 +31,12 @@
 )
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
-from pearstep.federation.facts import Facts, answer
 from pearstep.federation.keys import Keys
 from pearstep.federation.ledger import Books, Entry, GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
 from pearstep.federation.offload_selection import Grant, Room, choose
+from pearstep.federation.operator_api import Facts, answer
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.state.job import Job
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -8,14 +8,14 @@
 from prometheus_client import generate_latest
 
 from pearstep.domain.job_spec import JobSpec
-from pearstep.federation import carrying, facts, handoff, keys, link, writes
+from pearstep.federation import carrying, handoff, keys, link, operator_api, writes
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
-from pearstep.federation.facts import Facts
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import GuestBook, Need
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
+from pearstep.federation.operator_api import Facts
 from pearstep.federation.peer_health import Patience
 from pearstep.state.replica import Replica
 from tests.golden import files
@@ -86,8 +86,8 @@
         "team": writes.team_of("south"),
         "certificate": keys.server_name("south"),
         "loans": link.LOANS,
-        "facts": facts.FACTS,
-        "metrics": facts.METRICS,
+        "facts": operator_api.FACTS,
+        "metrics": operator_api.METRICS,
         "description": carrying.DESCRIPTION,
         "attempts": carrying.ATTEMPTS,
         "read": carrying.READ,
@@ -139,8 +139,8 @@
 @pytest.mark.parametrize("name", FACTS)
 def test_operators_are_told_as_they_were(name):
     ref, leads = FACTS[name]
-    request = SimpleNamespace(path=facts.FACTS, arguments={"ref": [ref.encode()]})
-    status, body, _ = facts.answer(request, {"site": "here"}, desk() if leads else None, loans(), None)
+    request = SimpleNamespace(path=operator_api.FACTS, arguments={"ref": [ref.encode()]})
+    status, body, _ = operator_api.answer(request, {"site": "here"}, desk() if leads else None, loans(), None)
     assert (status, body) == (200, files.read(f"federation/{name}.json"))
 
 
