--- a/measurements/federation_cuts.py
+++ b/measurements/federation_cuts.py
@@ -28,7 +28,7 @@
 from measurements.relay import CUTS, PASS, Relay
 from pearstep.client.archive import ArchiveClient
 from pearstep.client.jobs import ClusterUnreachableError, JobsClient
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.keys import Keys
 from pearstep.federation.operator_api import FACTS
 from pearstep.jobs.description import Description, Run
@@ -37,7 +37,7 @@
 
 SITES = ("huye", "nyarugenge")
 # Where a cut begins: as soon as a loan is seen in this state, or at a random time.
-POINTS = (ho.OFFERED, ho.GRANTED, ho.RECALLING, "ending", "any")
+POINTS = (handoff.OFFERED, handoff.GRANTED, handoff.RECALLING, "ending", "any")
 FAST = {
     "leaving": {"wait_s": 0.5, "aim_s": 0.5, "least_gain_s": 0.5, "gain": 0.05},
     "patience": {"suspect_s": 1.5, "cut_s": 4.0, "rest_s": 0.5},
@@ -165,7 +165,7 @@
         cutting = asyncio.ensure_future(self._cut(point, mode))
         told: dict[str, float] = {}
         wishes = []
-        if point == ho.RECALLING or self.rng.random() < 0.4:
+        if point == handoff.RECALLING or self.rng.random() < 0.4:
             wishes.append(asyncio.ensure_future(self._cancel_lent(list(jobs), told)))
         if self.rng.random() < 0.5:
             await asyncio.sleep(self.rng.uniform(0.3, 2.0))
@@ -216,7 +216,7 @@
         until = time.monotonic() + 4.0
         ref = self.rng.choice(refs)
         while time.monotonic() < until:
-            lent = [r["ref"] for r in (await self.facts("huye"))["loans"] if r["state"] == ho.GRANTED]
+            lent = [r["ref"] for r in (await self.facts("huye"))["loans"] if r["state"] == handoff.GRANTED]
             lent = [r for r in lent if r in refs]
             if lent:
                 ref = lent[0]
--- a/measurements/federation_overflow.py
+++ b/measurements/federation_overflow.py
@@ -22,7 +22,7 @@
 import numpy as np
 
 from measurements.harness import say
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.handoff import GuestLoan, HomeLoan
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 
@@ -83,7 +83,7 @@
             if pair[0].answer and not self.jobs[i].answer:
                 assert i not in self.finished, "answered twice"
                 self.finished[i] = self.now
-            if pair[0].state == ho.AT_HOME and not pair[0].answer:
+            if pair[0].state == handoff.AT_HOME and not pair[0].answer:
                 self.home_queue.appendleft(i)
             self.jobs[i] = pair[0]
         for message in pair[1]:
@@ -98,7 +98,7 @@
 
     def home_done(self, i: int) -> None:
         del self.home_runs[i]
-        self.put_home(i, (ho.done_at_home(self.jobs[i], 0), []))
+        self.put_home(i, (handoff.done_at_home(self.jobs[i], 0), []))
         self.start_home()
 
     def look(self) -> None:
@@ -125,7 +125,7 @@
                     )
                 )
             free = SLOTS - self.own_runs - len(self.guest_runs)
-            held = sum(loan.state == ho.RESERVED for loan in self.loans.values())
+            held = sum(loan.state == handoff.RESERVED for loan in self.loans.values())
             room = offered(
                 Grant(SLOTS, 0, 1e9),
                 (free - held, 0, 1e9),
@@ -138,21 +138,24 @@
                 self.home_queue.remove(i)
                 self.number += 1
                 self.handed += 1
-                self.put_home(i, ho.offer(self.jobs[i], self.number, 1, 0))
+                self.put_home(i, handoff.offer(self.jobs[i], self.number, 1, 0))
         self.at(self.now + S, self.look)
 
     # -- guest -----------------------------------------------------------------------------------
 
-    def guest_hears(self, i: int, message: ho.Message) -> None:
+    def guest_hears(self, i: int, message: handoff.Message) -> None:
         free = SLOTS - self.own_runs - len(self.guest_runs) - len(self.own_queue) > 0
-        self.put_guest(i, ho.guest_hears(self.loans.get(i, GuestLoan()), message, free))
+        self.put_guest(i, handoff.guest_hears(self.loans.get(i, GuestLoan()), message, free))
 
     def put_guest(self, i: int, pair: tuple[GuestLoan, list]) -> None:
         if pair[0] != self.loans.get(i, GuestLoan()):
             self.guest_changes += 1
             self.loans[i] = pair[0]
         for message in pair[1]:
-            self.at(self.now + LINK_US, lambda m=message: self.put_home(i, ho.home_hears(self.jobs[i], m)))  # type: ignore[misc]
+            self.at(
+                self.now + LINK_US,
+                lambda m=message: self.put_home(i, handoff.home_hears(self.jobs[i], m)),  # type: ignore[misc]
+            )
         if self.loans.get(i, GuestLoan()).startable and i not in self.guest_runs:
             self.epoch += 1
             self.guest_runs[i] = self.epoch
@@ -160,9 +163,9 @@
             self.at(self.now + self.left[i], lambda e=self.epoch: self.guest_done(i, e))  # type: ignore[misc]
 
     def guest_done(self, i: int, epoch: int) -> None:
-        if self.guest_runs.get(i) == epoch and self.loans[i].state == ho.HOLDING:
+        if self.guest_runs.get(i) == epoch and self.loans[i].state == handoff.HOLDING:
             del self.guest_runs[i]
-            self.put_guest(i, ho.done_at_guest(self.loans[i], 0))
+            self.put_guest(i, handoff.done_at_guest(self.loans[i], 0))
             self.start_own()
 
     def own_arrives(self) -> None:
@@ -181,13 +184,13 @@
             self.own_waits.append(self.now - came)
             self.own_runs += 1
             self.at(self.now + length, self.own_done)
-        stopping = sum(self.loans[i].state == ho.STOPPING for i in self.guest_runs)
+        stopping = sum(self.loans[i].state == handoff.STOPPING for i in self.guest_runs)
         for i in list(self.guest_runs):
             if stopping >= len(self.own_queue):
                 break
-            if self.loans[i].state == ho.HOLDING:
+            if self.loans[i].state == handoff.HOLDING:
                 stopping += 1
-                self.put_guest(i, (ho.give_back(self.loans[i]), []))
+                self.put_guest(i, (handoff.give_back(self.loans[i]), []))
                 self.at(self.now + SAVE_US, lambda j=i: self.stopped(j))  # type: ignore[misc]
 
     def stopped(self, i: int) -> None:
@@ -195,7 +198,7 @@
         self.returned += 1
         self.returns[i] = self.returns.get(i, 0) + 1
         self.left[i] = max(self.left[i] // 2, S)
-        self.put_guest(i, ho.stopped(self.loans[i]))
+        self.put_guest(i, handoff.stopped(self.loans[i]))
         self.start_own()
 
     def own_done(self) -> None:
--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pearstep.domain.scheduling_order import StartObjectives
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.ledger import GuestBook, Need
 from pearstep.federation.offload_selection import Grant, Waiting, offered
 from pearstep.federation.writes import borrowed
@@ -198,7 +198,7 @@
     (an array of a peer is stopped by ordinary preemption as well, a gang by nothing else); and those that
     have found no resources here for ``idle_us``, which may do better in their origin cluster.
     """
-    held = [(name, book, job) for name, book, job in loans if book.loan.state == ho.HOLDING]
+    held = [(name, book, job) for name, book, job in loans if book.loan.state == handoff.HOLDING]
     out: list[tuple[str, str]] = []
     if seen.own_since_us is not None and now_us - seen.own_since_us >= yield_us:
         need = seen.own
--- a/pearstep/federation/carrying.py
+++ b/pearstep/federation/carrying.py
@@ -22,7 +22,7 @@
 from pearstep.archive.records import Append, Chunk, Key, Seal
 from pearstep.client.archive import ArchiveClient, ArchiveUnreachableError, Found, key_of
 from pearstep.domain.job_state import JobState
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import Loans
 from pearstep.federation.writes import belongs, local_ref, team_of
@@ -119,7 +119,7 @@
         """The description of a job, while the peer that asks holds its offload."""
         assert self.archive is not None
         book = self.loans.home.get(arg.get("ref", ""))
-        if book is None or book.peer != peer or book.loan.state not in (ho.GRANTED, ho.RECALLING):
+        if book is None or book.peer != peer or book.loan.state not in (handoff.GRANTED, handoff.RECALLING):
             return 404, b'{"error":"not lent to this peer"}', {}
         status, body = await self.archive.ask("GET", f"/v1/jobs/{arg['ref']}")
         return status, body, {}
@@ -171,7 +171,7 @@
             return
         for ref in self.loans.open_home:
             book = self.loans.home[ref]
-            if book.loan.state != ho.OFFERED:
+            if book.loan.state != handoff.OFFERED:
                 self._watched[ref, book.loan.number] = book.peer
         # After a change of the lead, what ended a moment ago may not be whole.
         for ref, job in self.view.open_jobs.items():
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pearstep.domain.job_spec import JobSpec
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
 from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.peer_health import Peer
@@ -148,9 +148,9 @@
     def _says(self) -> Iterator[tuple[str, str, str, list[Said]]]:
         """Yield what every record permits to be sent: kind, peer, job, messages."""
         for job, home in self._homes():
-            yield "l", home.peer, job, [self._said(job, m, home) for m in ho.home_says(home.loan)]
+            yield "l", home.peer, job, [self._said(job, m, home) for m in handoff.home_says(home.loan)]
         for peer, job, guest in self._guests():
-            yield "g", peer, job, [Said(job, m) for m in ho.guest_says(guest.loan)]
+            yield "g", peer, job, [Said(job, m) for m in handoff.guest_says(guest.loan)]
 
     def record(self, key: str) -> HomeBook | GuestBook | None:
         """Return the record of a key, or None."""
@@ -204,7 +204,7 @@
         if self.count >= PER_STAMP:
             return None
         number = self.stamp * PER_STAMP + self.count
-        loan, said = ho.offer(book.loan, number, rows, running)
+        loan, said = handoff.offer(book.loan, number, rows, running)
         if loan == book.loan:
             return None
         after = msgspec.structs.replace(
@@ -239,36 +239,38 @@
             The entry to write, or, if nothing changes, what to answer at once.
         """
         kind = said.message.kind
-        if kind == ho.RENEW:
+        if kind == handoff.RENEW:
             return self._renew(peer, said, wall_us)
-        if kind == ho.RENEWED:
+        if kind == handoff.RENEWED:
             return self._renewed(peer, said)
-        if kind in (ho.OFFER, ho.GRANT, ho.RECALL, ho.CONFIRM):
+        if kind in (handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM):
             guest = self.guest.get((peer, said.ref)) or GuestBook(GuestLoan())
-            fits = kind != ho.OFFER or (self._room(peer, said, free) and self._usable(said))
-            loan, answers = ho.guest_hears(guest.loan, said.message, fits)
+            fits = kind != handoff.OFFER or (self._room(peer, said, free) and self._usable(said))
+            loan, answers = handoff.guest_hears(guest.loan, said.message, fits)
             out = [Said(said.ref, m) for m in answers]
             if loan == guest.loan:
                 return out
             after = msgspec.structs.replace(guest, loan=loan)
-            if loan.state == ho.RESERVED and guest.loan.number != loan.number:
+            if loan.state == handoff.RESERVED and guest.loan.number != loan.number:
                 after = GuestBook(loan, said.need, wall_us, said.spec, said.term_us)
-            if loan.state == ho.NONE:
+            if loan.state == handoff.NONE:
                 after = GuestBook(loan)  # only the number must be remembered
             return self._guest_entry(peer, said.ref, after, answers)
-        book = self.home.get(said.ref) or HomeBook(HomeLoan(0, state=ho.SETTLED))
+        book = self.home.get(said.ref) or HomeBook(HomeLoan(0, state=handoff.SETTLED))
         if book.peer and book.peer != peer:
             # This peer no longer has the job, so its offload has ended. Its number is never the present one,
             # so that the answer is the same as for any earlier offload.
-            old = msgspec.structs.replace(book.loan, state=ho.AT_HOME, number=0)
-            _, answers = ho.home_hears(old, said.message)
+            old = msgspec.structs.replace(book.loan, state=handoff.AT_HOME, number=0)
+            _, answers = handoff.home_hears(old, said.message)
             return [Said(said.ref, m) for m in answers]
         before = book.loan
-        home, answers = ho.home_hears(before, said.message)
+        home, answers = handoff.home_hears(before, said.message)
         if home == before or said.ref not in self.home:
             return [self._said(said.ref, m, book) for m in answers]
-        came_back = before.state in (ho.GRANTED, ho.RECALLING) and home.state == ho.AT_HOME
-        since = wall_us if home.state == ho.GRANTED and before.state == ho.OFFERED else book.since_us
+        came_back = before.state in (handoff.GRANTED, handoff.RECALLING) and home.state == handoff.AT_HOME
+        since = (
+            wall_us if home.state == handoff.GRANTED and before.state == handoff.OFFERED else book.since_us
+        )
         ended = msgspec.structs.replace(book, loan=home, returned=book.returned + came_back, since_us=since)
         return self._home_entry(said.ref, ended, answers)
 
@@ -297,35 +299,35 @@
     def over(self, book: HomeBook, wall_us: int) -> bool:
         """Tell whether the remote cluster has certainly stopped: its term began no later than ours."""
         term = self.term(book)
-        running = book.loan.state in (ho.GRANTED, ho.RECALLING) and book.loan.repeats
+        running = book.loan.state in (handoff.GRANTED, handoff.RECALLING) and book.loan.repeats
         return running and term is not None and HomeTerm(term, book.since_us).over(wall_us)
 
     def renewal(self, peer: str, ref: str, wall_us: int) -> Said | None:
         """Return the request to renew an offload that we hold, if half of its time is over."""
         book = self.guest.get((peer, ref))
         term = self.term(book) if book is not None else None
-        if book is None or term is None or book.loan.state != ho.HOLDING:
+        if book is None or term is None or book.loan.state != handoff.HOLDING:
             return None
         if not term.renew_us <= wall_us - book.since_us < term.stop_us:
             return None
-        return Said(ref, Message(ho.RENEW, book.loan.number), at_us=wall_us)
+        return Said(ref, Message(handoff.RENEW, book.loan.number), at_us=wall_us)
 
     def _renew(self, peer: str, said: Said, wall_us: int) -> Entry | list[Said]:
         """Take in a request to renew, which is stored before it is answered."""
         book = self.home.get(said.ref)
         if book is None or book.peer != peer or book.loan.number != said.message.number:
             return []
-        if book.loan.state != ho.GRANTED:
-            return [self._said(said.ref, m, book) for m in ho.home_says(book.loan)]
+        if book.loan.state != handoff.GRANTED:
+            return [self._said(said.ref, m, book) for m in handoff.home_says(book.loan)]
         after = msgspec.structs.replace(book, since_us=max(book.since_us, wall_us))
         entry = self._home_entry(said.ref, after, [])
-        entry.says = [Said(said.ref, Message(ho.RENEWED, book.loan.number), at_us=said.at_us)]
+        entry.says = [Said(said.ref, Message(handoff.RENEWED, book.loan.number), at_us=said.at_us)]
         return entry
 
     def _renewed(self, peer: str, said: Said) -> Entry | list[Said]:
         """Take in that the origin cluster has renewed the term from the time of our request, by our clock."""
         book = self.guest.get((peer, said.ref))
-        if book is None or book.loan.number != said.message.number or book.loan.state != ho.HOLDING:
+        if book is None or book.loan.number != said.message.number or book.loan.state != handoff.HOLDING:
             return []
         if said.at_us <= book.since_us:
             return []
@@ -353,7 +355,7 @@
 
     def reserved(self) -> tuple[float, float, float]:
         """Return what is reserved for offers that were accepted and not granted yet."""
-        return _sum(b for _, _, b in self._guests() if b.loan.state == ho.RESERVED)
+        return _sum(b for _, _, b in self._guests() if b.loan.state == handoff.RESERVED)
 
     # -- entries ---------------------------------------------------------------------------------
 
@@ -363,7 +365,7 @@
 
     @staticmethod
     def _said(job: str, message: Message, book: HomeBook) -> Said:
-        if message.kind != ho.OFFER:
+        if message.kind != handoff.OFFER:
             return Said(job, message, book.need)
         return Said(job, message, book.need, book.spec, book.term_us)
 
@@ -422,14 +424,14 @@
         """Return the entries that end reservations whose time is over."""
         out = []
         for peer, job, book in self._guests():
-            if book.loan.state == ho.RESERVED and wall_us - book.since_us >= self.reserve_us:
-                entry = self.act_as_guest(peer, job, (ho.reservation_over(book.loan), []))
+            if book.loan.state == handoff.RESERVED and wall_us - book.since_us >= self.reserve_us:
+                entry = self.act_as_guest(peer, job, (handoff.reservation_over(book.loan), []))
                 if entry is not None:
                     out.append(entry)
         return out
 
 
-_OCCUPIED = (ho.RESERVED, ho.HOLDING, ho.STOPPING)
+_OCCUPIED = (handoff.RESERVED, handoff.HOLDING, handoff.STOPPING)
 
 
 def _sum(books: Iterable[GuestBook]) -> tuple[float, float, float]:
--- a/pearstep/federation/offload_records.py
+++ b/pearstep/federation/offload_records.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.ledger import GuestBook, HomeBook
 from pearstep.federation.offload_selection import Grant
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
 
-OPEN_HOME = (ho.OFFERED, ho.GRANTED, ho.RECALLING)
+OPEN_HOME = (handoff.OFFERED, handoff.GRANTED, handoff.RECALLING)
 
 
 class PeerRec(msgspec.Struct, omit_defaults=True):
@@ -105,7 +105,7 @@
             self.open_guest.discard((peer, ref))
         else:
             book = self.guest[peer, ref] = _guest.decode(raw)
-            if book.loan.state == ho.NONE:
+            if book.loan.state == handoff.NONE:
                 self.open_guest.discard((peer, ref))
             else:
                 self.open_guest.add((peer, ref))
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPServerRequest
 
 from pearstep.domain.task_set import format_task_ranges
-from pearstep.federation import peer_health as pe
+from pearstep.federation import peer_health
 from pearstep.federation.desk import Desk
 from pearstep.federation.ledger import HomeBook
 from pearstep.federation.offload_records import Loans
@@ -19,7 +19,15 @@
 FACTS = "/v1/federation"
 METRICS = "/v1/federation/metrics"
 MOST_LOANS = 1000
-STATES = (pe.NEW, pe.UP, pe.SUSPECT, pe.CUT, pe.GONE, pe.BACK, pe.DRAINED)
+STATES = (
+    peer_health.NEW,
+    peer_health.UP,
+    peer_health.SUSPECT,
+    peer_health.CUT,
+    peer_health.GONE,
+    peer_health.BACK,
+    peer_health.DRAINED,
+)
 
 
 class Facts:
@@ -44,7 +52,7 @@
         home = Counter(loans.home[ref].peer for ref in loans.open_home)
         guest = Counter(peer for peer, _ in loans.open_guest)
         for name, peer in desk.peers.items():
-            self.up.labels(name).set(peer.state == pe.UP)
+            self.up.labels(name).set(peer.state == peer_health.UP)
             for state in STATES:
                 self.state.labels(name, state).set(peer.state == state)
             self.home.labels(name).set(home[name])
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -17,8 +17,7 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
-from pearstep.federation import handoff as ho
-from pearstep.federation import peer_health as pe
+from pearstep.federation import handoff, peer_health
 from pearstep.federation.capacity_estimate import (
     Look,
     add,
@@ -67,7 +66,7 @@
         self.site = self.keys.site
         self.policy = s.leaving.policy()
         p = s.patience
-        self.patience = pe.Patience(
+        self.patience = peer_health.Patience(
             int(p.suspect_s * SECOND_US),
             int(p.cut_s * SECOND_US),
             int(p.gone_s * SECOND_US),
@@ -154,10 +153,10 @@
         for name, rec in known.items():
             peer = desk.peers.get(name)
             if peer is None:
-                peer = desk.peers[name] = pe.Peer(name, self.patience, now)
-            if rec.drained and peer.state != pe.DRAINED:
+                peer = desk.peers[name] = peer_health.Peer(name, self.patience, now)
+            if rec.drained and peer.state != peer_health.DRAINED:
                 peer.drain()
-            elif not rec.drained and peer.state == pe.DRAINED:
+            elif not rec.drained and peer.state == peer_health.DRAINED:
                 peer.resume()
             desk.books.grants[name] = rec.grant if not rec.drained else Grant()
 
@@ -199,9 +198,9 @@
         for ref in list(self.loans.open_home):
             book, job = self.loans.home[ref], self.view.jobs.get(ref)
             rec = self.loans.peers.get(book.peer)
-            since = self._offered.setdefault(ref, now) if book.loan.state == ho.OFFERED else now
+            since = self._offered.setdefault(ref, now) if book.loan.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
-                entry = desk.books.act(ref, ho.force(book.loan))
+                entry = desk.books.act(ref, handoff.force(book.loan))
                 if entry is not None:
                     why = rec.forgotten if rec is not None else "the peer was removed"
                     entry.after = msgspec.structs.replace(entry.after, forced=why)
@@ -209,11 +208,11 @@
                     await desk.do(entry)
             elif desk.books.over(book, wall_us()):
                 log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.do(desk.books.act(ref, ho.term_over(book.loan)))
-            elif book.loan.state == ho.OFFERED and (
+                await desk.do(desk.books.act(ref, handoff.term_over(book.loan)))
+            elif book.loan.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
-                await desk.do(desk.books.act(ref, ho.withdraw(book.loan)))
+                await desk.do(desk.books.act(ref, handoff.withdraw(book.loan)))
         for ref in [r for r in self._offered if r not in self.loans.open_home]:
             del self._offered[ref]
 
@@ -224,18 +223,22 @@
             book = self.loans.guest[peer, ref]
             job = self.view.jobs.get(local_ref(peer, ref, book.loan.number))
             rows.append(((peer, ref), book, job))
-            if book.loan.state == ho.HOLDING and job is None:
+            if book.loan.state == handoff.HOLDING and job is None:
                 if (peer, ref) not in self._starting:
                     self._starting.add((peer, ref))
                     self._tasks.start(self._begin(peer, ref))
             elif job is not None and (
-                (job.is_final and book.loan.state in (ho.HOLDING, ho.STOPPING))
-                or (book.loan.state == ho.STOPPING and job.past_run_limit(wall_us()) and not job.placed_tasks)
+                (job.is_final and book.loan.state in (handoff.HOLDING, handoff.STOPPING))
+                or (
+                    book.loan.state == handoff.STOPPING
+                    and job.past_run_limit(wall_us())
+                    and not job.placed_tasks
+                )
             ):
                 await self._ended(desk, peer, ref, book, job)
-            elif book.loan.state == ho.STOPPING and job is None:
-                await desk.do(desk.books.act_as_guest(peer, ref, ho.stopped(book.loan)))
-            if book.term_us and book.loan.state == ho.HOLDING:
+            elif book.loan.state == handoff.STOPPING and job is None:
+                await desk.do(desk.books.act_as_guest(peer, ref, handoff.stopped(book.loan)))
+            if book.term_us and book.loan.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
         for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
             del self._renewing[loan]
@@ -248,7 +251,7 @@
 
     async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.books.act_as_guest(peer, ref, (ho.give_back(self.loans.guest[peer, ref].loan), []))
+        entry = desk.books.act_as_guest(peer, ref, (handoff.give_back(self.loans.guest[peer, ref].loan), []))
         if entry is not None:
             entry.orderly = True
             await desk.do(entry)
@@ -289,17 +292,17 @@
         """The borrowed job is over: once nothing of it is anywhere, home is told."""
         if job.placed_tasks:
             return
-        loan, says = book.loan, list[ho.Message]()
-        if loan.state == ho.HOLDING and job.state != JobState.DONE:
+        loan, says = book.loan, list[handoff.Message]()
+        if loan.state == handoff.HOLDING and job.state != JobState.DONE:
             # Somebody here has cancelled it.
-            await desk.do(desk.books.act_as_guest(peer, ref, (ho.give_back(loan), [])))
+            await desk.do(desk.books.act_as_guest(peer, ref, (handoff.give_back(loan), [])))
             return
         done = loan.rows if job.state == JobState.DONE else job.done_tasks & loan.rows
         for task in range(job.spec.tasks):
-            if done >> task & 1 and loan.state in (ho.HOLDING, ho.STOPPING):
-                loan, says = ho.done_at_guest(loan, task)
-        if loan.state == ho.STOPPING:
-            loan, says = ho.stopped(loan)
+            if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
+                loan, says = handoff.done_at_guest(loan, task)
+        if loan.state == handoff.STOPPING:
+            loan, says = handoff.stopped(loan)
         await desk.do(desk.books.act_as_guest(peer, ref, (loan, says)))
 
     # -- lending ---------------------------------------------------------------------------------
@@ -356,7 +359,7 @@
         under_way: dict[str, int] = {}
         for ref in self.loans.open_home:
             book = self.loans.home[ref]
-            if book.loan.state == ho.OFFERED:
+            if book.loan.state == handoff.OFFERED:
                 under_way[book.peer] = under_way.get(book.peer, 0) + 1
         for name, peer in desk.peers.items():
             offer, at = desk.offers.get(name, (None, 0))
@@ -426,10 +429,10 @@
         ref = job.spec.job_id
         key = f"l/{ref}"
         book = self.loans.home.get(ref)
-        if book is None or book.loan.state not in (ho.GRANTED, ho.RECALLING):
+        if book is None or book.loan.state not in (handoff.GRANTED, handoff.RECALLING):
             return {key: self.view.version_of(key)}
         if not book.loan.cancel:
-            after = msgspec.structs.replace(book, loan=ho.cancel(book.loan)[0])
+            after = msgspec.structs.replace(book, loan=handoff.cancel(book.loan)[0])
             outcome = await self.node.kv.commit(
                 {key: self.view.version_of(key), f"j/{ref}": job.version},
                 {key: (after, None)},
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -14,7 +14,7 @@
 from pearstep.domain.job_spec import PRIORITIES, JobSpec
 from pearstep.domain.job_state import JobState
 from pearstep.domain.task_set import format_task_ranges
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.ledger import Entry, GuestBook, HomeBook
 from pearstep.federation.offload_records import OPEN_HOME
 from pearstep.leader.route_plan import RoutePlan
@@ -55,7 +55,7 @@
     priority, and a class of its own, so that no service-level objective or quota guarantee of ours counts for
     it. A job whose term is over doesn't begin.
     """
-    if book.spec is None or book.loan.state != ho.HOLDING or (until_us and wall_us >= until_us):
+    if book.spec is None or book.loan.state != handoff.HOLDING or (until_us and wall_us >= until_us):
         return None
     spec = msgspec.structs.replace(
         book.spec,
@@ -81,15 +81,15 @@
         return None
     key = entry.key
     loan = entry.after.loan
-    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else ho.AT_HOME
+    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else handoff.AT_HOME
     puts: dict[str, Any] = {key: entry.after}
     conditions = {key: view.version_of(key)}
-    if loan.state in (ho.OFFERED, ho.GRANTED) and loan.state != before:
+    if loan.state in (handoff.OFFERED, handoff.GRANTED) and loan.state != before:
         # A grant must not overtake a cancellation that another controller has accepted.
         if job.state != JobState.QUEUED:
             return None
         conditions[f"j/{ref}"] = job.version
-    if loan.state == ho.OFFERED and before != ho.OFFERED:
+    if loan.state == handoff.OFFERED and before != handoff.OFFERED:
         if loan.rows & (job.placed_tasks | job.done_tasks) or job.spans_shards:
             return None
         route_puts, route_conditions = _unroute(job, loan.rows)
@@ -112,7 +112,7 @@
     return routing.writes()
 
 
-def _final_state(job: Job, loan: ho.HomeLoan) -> JobState | None:
+def _final_state(job: Job, loan: handoff.HomeLoan) -> JobState | None:
     """Return the final state of a job whose offload has ended; None if the job goes on."""
     if (job.done_tasks | loan.done) == job.spec.all_tasks and job.spec.kind != "service":
         return JobState.DONE
@@ -130,7 +130,7 @@
     loan = entry.after.loan
     puts: dict[str, Any] = {entry.key: entry.after}
     conditions = {entry.key: view.version_of(entry.key)}
-    if loan.state in (ho.STOPPING, ho.GIVEN_BACK):
+    if loan.state in (handoff.STOPPING, handoff.GIVEN_BACK):
         # From here on nothing of it starts: the job is cancelled in the same transaction, or can't be
         # created. If it is returned without being asked for, the shard owners stop it with time for a
         # checkpoint, as at the end of a term, and it is cancelled once nothing of it runs.
@@ -145,7 +145,7 @@
                 )
             else:
                 puts[key] = JobRecord(job.spec, job.submitted_at_us, JobState.CANCELLED, wall_us)
-    elif loan.state == ho.HOLDING and until_us:
+    elif loan.state == handoff.HOLDING and until_us:
         # A renewal reaches the shard owners in the same transaction, or not at all.
         key = f"j/{local_ref(peer, ref, loan.number)}"
         job = view.jobs.get(key[2:])
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -8,7 +8,7 @@
 
 from pearstep.archive.frames import pack
 from pearstep.archive.records import Append, Chunk, Key, Seal
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.carrying import LINGER_US, Carrying
 from pearstep.federation.handoff import HomeLoan
 from pearstep.federation.ledger import HomeBook, Need
@@ -66,14 +66,14 @@
     for end in (home, there):
         await end.site.settle()
     home.put("j/req-1", JobRecord(spec(job_id="req-1", kind="array", tasks=2), 1))
-    lend(home, ho.GRANTED)
+    lend(home, handoff.GRANTED)
     job = Description("solve", "office", Run(["x"], outputs=["*"]), tasks=2)
     assert (await home.site.client.ask("PUT", "/v1/jobs/req-1", encode(job)))[0] == 201
     return home, there
 
 
 def lend(home, state, **more):
-    rows = 0 if state == ho.AT_HOME else 0b11
+    rows = 0 if state == handoff.AT_HOME else 0b11
     loan = HomeLoan(2, state=state, number=NUMBER, rows=rows, **more)
     home.put("l/req-1", HomeBook(loan, "nyarugenge", Need()))
 
@@ -101,7 +101,7 @@
         status, body = await there.site.client.ask("GET", f"/v1/jobs/{LOCAL}")
         assert status == 200 and decode(body).team == "peer:huye" and decode(body).run.command == ["x"]
         # A job that this peer does not hold is none of its business.
-        lend(home, ho.OFFERED)
+        lend(home, handoff.OFFERED)
         assert not await there.carrying.fetch_description("huye", "req-1", LOCAL + "1")
         assert not await there.carrying.fetch_description("huye", "req-2", LOCAL + "2")
 
@@ -128,7 +128,7 @@
         (folder / "maps").mkdir(parents=True)
         (folder / "maps" / "a.tif").write_bytes(b"tile" * 600_000)
         assert await there.site.client.publish(key, "t", folder, ["maps/a.tif"]) == ""
-        lend(home, ho.AT_HOME, done=0b11)
+        lend(home, handoff.AT_HOME, done=0b11)
         await home.carrying.step()
         (found,) = await home.site.client.attempts("req-1")
         assert (found["state"], found["cause"], found["whole"]) == ("sealed", "done", True)
@@ -152,7 +152,7 @@
     async def scenario(home, there, tmp_path):
         await there.carrying.fetch_description("huye", "req-1", LOCAL)
         await write(there, Key(LOCAL, 1, 2, "i-2", 1), b"all of it", end=True, cause="error")
-        lend(home, ho.AT_HOME, done=0)
+        lend(home, handoff.AT_HOME, done=0)
         home.carrying._watched["req-1", NUMBER] = "nyarugenge"
         addrs = home.link.peers["nyarugenge"]
         home.link.peers["nyarugenge"] = [free_addr()]
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -7,8 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from pearstep.federation import handoff as ho
-from pearstep.federation import peer_health as pe
+from pearstep.federation import handoff, peer_health
 from pearstep.federation.handoff import GuestLoan, HomeLoan
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 from pearstep.federation.peer_health import Patience, Peer
@@ -53,16 +52,18 @@
 
     @rule(key=jobs_, to=st.sampled_from(NAMES), rows=st.integers(1, 3))
     def offer(self, key, to, rows):
-        if to == key[0] or self.jobs[key].state != ho.AT_HOME:
+        if to == key[0] or self.jobs[key].state != handoff.AT_HOME:
             return
         self.number += 1
         running = sum(1 << t for h, j, t in self.runs if (h, j) == key)
         self.where[key] = to
-        self.put_home(key, ho.offer(self.jobs[key], self.number, rows, running))
+        self.put_home(key, handoff.offer(self.jobs[key], self.number, rows, running))
 
-    @rule(key=jobs_, what=st.sampled_from([ho.withdraw, ho.recall, ho.cancel]))
+    @rule(key=jobs_, what=st.sampled_from([handoff.withdraw, handoff.recall, handoff.cancel]))
     def home_acts(self, key, what):
-        if what is ho.cancel and any((h, j) == key and c == key[0] for (h, j, _), c in self.runs.items()):
+        if what is handoff.cancel and any(
+            (h, j) == key and c == key[0] for (h, j, _), c in self.runs.items()
+        ):
             return
         self.put_home(key, what(self.jobs[key]))
 
@@ -84,9 +85,9 @@
         del self.runs[run]
         if cluster == key[0]:
             if done:
-                self.put_home(key, (ho.done_at_home(self.jobs[key], task), []))
+                self.put_home(key, (handoff.done_at_home(self.jobs[key], task), []))
         elif done:
-            self.put_guest((*key, cluster), ho.done_at_guest(self.guest[(*key, cluster)], task))
+            self.put_guest((*key, cluster), handoff.done_at_guest(self.guest[(*key, cluster)], task))
 
     def start(self, run, cluster):
         # Never two clusters with the same task, never one that is done or cancelled.
@@ -100,11 +101,11 @@
             return
         at = (*key, guest)
         if what == "over":
-            self.guest[at] = ho.reservation_over(self.guest[at])
+            self.guest[at] = handoff.reservation_over(self.guest[at])
         elif what == "back":
-            self.guest[at] = ho.give_back(self.guest[at])
+            self.guest[at] = handoff.give_back(self.guest[at])
         elif not any((h, j) == key and c == guest for (h, j, _), c in self.runs.items()):
-            self.put_guest(at, ho.stopped(self.guest[at]))
+            self.put_guest(at, handoff.stopped(self.guest[at]))
 
     @rule(data=st.data(), again=st.booleans(), room=st.booleans())
     def deliver(self, data, again, room):
@@ -114,10 +115,10 @@
         key, peer, message, to = self.mail[i] if again else self.mail.pop(i)
         if to == "guest":
             at = (*key, peer)
-            self.put_guest(at, ho.guest_hears(self.guest[at], message, room))
+            self.put_guest(at, handoff.guest_hears(self.guest[at], message, room))
         else:
             # What a former guest still says goes to the same record; the answer goes back to it.
-            loan, said = ho.home_hears(self.jobs[key], message)
+            loan, said = handoff.home_hears(self.jobs[key], message)
             present = self.where.get(key)
             self.where[key] = peer
             self.put_home(key, (loan, said))
@@ -128,9 +129,9 @@
         """Every message is lost, and both sides say again what their records permit."""
         self.mail = []
         for key, loan in self.jobs.items():
-            self.put_home(key, (loan, ho.home_says(loan)))
+            self.put_home(key, (loan, handoff.home_says(loan)))
         for key, loan in self.guest.items():
-            self.put_guest(key, (loan, ho.guest_says(loan)))
+            self.put_guest(key, (loan, handoff.guest_says(loan)))
 
     @invariant()
     def holds(self):
@@ -152,9 +153,9 @@
                     break
                 key, peer, message, to = self.mail.pop(0)
                 if to == "guest":
-                    self.put_guest((*key, peer), ho.guest_hears(self.guest[(*key, peer)], message, True))
+                    self.put_guest((*key, peer), handoff.guest_hears(self.guest[(*key, peer)], message, True))
                 else:
-                    loan, said = ho.home_hears(self.jobs[key], message)
+                    loan, said = handoff.home_hears(self.jobs[key], message)
                     present = self.where.get(key, peer)
                     self.where[key] = peer
                     self.put_home(key, (loan, said))
@@ -164,9 +165,9 @@
                     self.turn(key, task, True)
                 for g in NAMES:
                     if g != key[0] and not any(r[:2] == key and c == g for r, c in self.runs.items()):
-                        self.put_guest((*key, g), ho.stopped(self.guest[(*key, g)]))
+                        self.put_guest((*key, g), handoff.stopped(self.guest[(*key, g)]))
         assert all(loan.answer for loan in self.jobs.values())
-        assert all(loan.state == ho.NONE for loan in self.guest.values())
+        assert all(loan.state == handoff.NONE for loan in self.guest.values())
 
 
 ThreeClusters.TestCase.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
@@ -223,7 +224,7 @@
         if heard:
             peer.heard(now)
             last = now
-        if agree and peer.state == pe.BACK:
+        if agree and peer.state == peer_health.BACK:
             peer.agree(now)
         peer.tick(now)
         if peer.lends(now):
@@ -238,19 +239,19 @@
         for _ in range(3):
             peer.heard(now)
         peer.agree(now)
-        assert peer.state == pe.UP
+        assert peer.state == peer_health.UP
         now += 20 * S
         peer.tick(now)
-        assert peer.state == pe.CUT
+        assert peer.state == peer_health.CUT
         rests.append(peer.not_before_us - now)
     assert rests == sorted(set(rests))
     peer.tick(now + 2 * 3600 * S)
-    assert peer.state == pe.GONE
+    assert peer.state == peer_health.GONE
     peer.drain()
     peer.heard(now)
-    assert peer.state == pe.DRAINED and not peer.lends(now)
+    assert peer.state == peer_health.DRAINED and not peer.lends(now)
     peer.resume()
-    assert peer.state == pe.BACK
+    assert peer.state == peer_health.BACK
 
 
 def job(i, start_s, aim_s=10, rows=1, **more):
--- a/tests/test_handoff_model.py
+++ b/tests/test_handoff_model.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
 
 
@@ -26,10 +26,10 @@
 class Guards:
     """The machines; a broken variant replaces one of them."""
 
-    guest_hears = staticmethod(ho.guest_hears)
-    home_hears = staticmethod(ho.home_hears)
-    recall = staticmethod(ho.recall)
-    cancel = staticmethod(ho.cancel)
+    guest_hears = staticmethod(handoff.guest_hears)
+    home_hears = staticmethod(handoff.home_hears)
+    recall = staticmethod(handoff.recall)
+    cancel = staticmethod(handoff.cancel)
     guest_startable = staticmethod(lambda loan: loan.startable)
     term_needs_guest = True
 
@@ -50,16 +50,18 @@
 
     home, guest = w.home, w.guest
     for m in w.sent:
-        if m.kind in (ho.OFFER, ho.GRANT, ho.RECALL, ho.CONFIRM):
-            for room in (True, False) if m.kind == ho.OFFER else (True,):
+        if m.kind in (handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM):
+            for room in (True, False) if m.kind == handoff.OFFER else (True,):
                 yield with_guest(g.guest_hears(guest, m, room))
         else:
             yield with_home(g.home_hears(home, m))
-    yield msgspec.structs.replace(w, sent=w.sent | set(ho.home_says(home)) | set(ho.guest_says(guest)))
+    yield msgspec.structs.replace(
+        w, sent=w.sent | set(handoff.home_says(home)) | set(handoff.guest_says(guest))
+    )
     if home.number < w.loans:
         for rows in (0b11, 0b10):
-            yield with_home(ho.offer(home, home.number + 1, rows, w.at_home))
-    yield with_home(ho.withdraw(home))
+            yield with_home(handoff.offer(home, home.number + 1, rows, w.at_home))
+    yield with_home(handoff.withdraw(home))
     yield with_home(g.recall(home))
     if not w.at_home:
         # At home a cancellation stops what runs there first, as it always did.
@@ -69,28 +71,28 @@
         if home.startable & bit and not w.at_home & bit:
             yield msgspec.structs.replace(w, at_home=w.at_home | bit)
         if w.at_home & bit:
-            yield with_home((ho.done_at_home(home, task), []), at_home=w.at_home & ~bit)
+            yield with_home((handoff.done_at_home(home, task), []), at_home=w.at_home & ~bit)
             yield msgspec.structs.replace(w, at_home=w.at_home & ~bit)
         if g.guest_startable(guest) & bit and not w.at_guest & bit:
             yield msgspec.structs.replace(w, at_guest=w.at_guest | bit)
         if w.at_guest & bit:
-            yield with_guest(ho.done_at_guest(guest, task), at_guest=w.at_guest & ~bit)
+            yield with_guest(handoff.done_at_guest(guest, task), at_guest=w.at_guest & ~bit)
             yield msgspec.structs.replace(w, at_guest=w.at_guest & ~bit)
-    yield with_guest((ho.reservation_over(guest), []))
-    yield with_guest((ho.give_back(guest), []))
+    yield with_guest((handoff.reservation_over(guest), []))
+    yield with_guest((handoff.give_back(guest), []))
     if not w.at_guest:
-        yield with_guest(ho.stopped(guest))
+        yield with_guest(handoff.stopped(guest))
     if home.repeats:
         # The guest's clock ends its loan and all that runs; only after that home's clock can (``terms``).
-        if guest.state in (ho.HOLDING, ho.STOPPING) and guest.number > w.ended:
-            loan = ho.give_back(guest)
+        if guest.state in (handoff.HOLDING, handoff.STOPPING) and guest.number > w.ended:
+            loan = handoff.give_back(guest)
             yield msgspec.structs.replace(w, guest=loan, at_guest=0, ended=guest.number)
         if not g.term_needs_guest or (
             w.ended >= home.number
             or guest.number != home.number
-            or guest.state in (ho.NONE, ho.GIVEN_BACK, ho.FINISHED)
+            or guest.state in (handoff.NONE, handoff.GIVEN_BACK, handoff.FINISHED)
         ):
-            yield with_home(ho.term_over(home), ended=max(w.ended, home.number))
+            yield with_home(handoff.term_over(home), ended=max(w.ended, home.number))
 
 
 def wrong(w):
@@ -138,7 +140,9 @@
     seen, why = walk(start, Guards)
     assert not why
     # A fair end: the answer is final, the guest has nothing left, nothing runs.
-    ends = [w for w in seen if w.home.answer and w.guest.state == ho.NONE and not (w.at_home | w.at_guest)]
+    ends = [
+        w for w in seen if w.home.answer and w.guest.state == handoff.NONE and not (w.at_home | w.at_guest)
+    ]
     reach = set(ends)
     todo = list(ends)
     while todo:
@@ -148,9 +152,9 @@
                 todo.append(before)
     stuck = [w for w in seen if w not in reach]
     assert not stuck, stuck[0]
-    assert {w.home.state for w in seen} == set(ho.HOME.transitions) and {w.guest.state for w in seen} == set(
-        ho.GUEST.transitions
-    )
+    assert {w.home.state for w in seen} == set(handoff.HOME.transitions) and {
+        w.guest.state for w in seen
+    } == set(handoff.GUEST.transitions)
     with capsys.disabled():
         print(f" [handoff, {tasks} tasks, {loans} loans, repeats={repeats}: {len(seen)} states]", end="")
 
@@ -160,12 +164,12 @@
 
     @staticmethod
     def guest_hears(loan, m, room):
-        return ho.guest_hears(msgspec.structs.replace(loan, high=0), m, room)
+        return handoff.guest_hears(msgspec.structs.replace(loan, high=0), m, room)
 
 
 class StartsOnReservation(Guards):
     guest_startable = staticmethod(
-        lambda loan: loan.rows & ~loan.done if loan.state in (ho.RESERVED, ho.HOLDING) else 0
+        lambda loan: loan.rows & ~loan.done if loan.state in (handoff.RESERVED, handoff.HOLDING) else 0
     )
 
 
@@ -174,7 +178,7 @@
 
     @staticmethod
     def recall(loan):
-        return ho.force(loan) if loan.state == ho.GRANTED else ho.recall(loan)
+        return handoff.force(loan) if loan.state == handoff.GRANTED else handoff.recall(loan)
 
 
 class CancelsAtOnce(Guards):
@@ -182,7 +186,7 @@
     def cancel(loan):
         if loan.answer:
             return loan, []
-        return msgspec.structs.replace(loan, state=ho.SETTLED, answer="cancelled", cancel=True), []
+        return msgspec.structs.replace(loan, state=handoff.SETTLED, answer="cancelled", cancel=True), []
 
 
 class TakesOldResults(Guards):
@@ -190,9 +194,9 @@
 
     @staticmethod
     def home_hears(loan, m):
-        if m.kind in (ho.RESULT, ho.OVER):
+        if m.kind in (handoff.RESULT, handoff.OVER):
             m = msgspec.structs.replace(m, number=loan.number)
-        return ho.home_hears(loan, m)
+        return handoff.home_hears(loan, m)
 
 
 class ForgetsDone(Guards):
@@ -200,9 +204,9 @@
 
     @staticmethod
     def home_hears(loan, m):
-        if m.kind == ho.RESULT and loan.answer:
+        if m.kind == handoff.RESULT and loan.answer:
             return msgspec.structs.replace(loan, answer="done"), []
-        return ho.home_hears(loan, m)
+        return handoff.home_hears(loan, m)
 
 
 class HomeClockFirst(Guards):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -11,7 +11,7 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.team import Team
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.capacity_estimate import Look, give_way, may_go, room, waiting
 from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need
@@ -81,7 +81,7 @@
 
 def hear(cluster, kind, **fields):
     loan = cluster.loans.home["req-1"].loan
-    return cluster.books.act("req-1", ho.home_hears(loan, ho.Message(kind, loan.number, **fields)))
+    return cluster.books.act("req-1", handoff.home_hears(loan, handoff.Message(kind, loan.number, **fields)))
 
 
 def test_an_offer_takes_the_route_away_and_what_was_placed_meanwhile_stays():
@@ -107,7 +107,7 @@
         one = Cluster()
         job = one.job(kind="array", tasks=2)
         assert one.home(one.offer(job, 2))
-        grant = hear(one, ho.ACCEPT)
+        grant = hear(one, handoff.ACCEPT)
         # Any node: under the conditions that it was told.
         stamps = {"j/req-1": job.version, "l/req-1": one.view.version_of("l/req-1")}
         cancel = ({"j/req-1": JobRecord(job.spec, 1, JobState.CANCELLED, 2)}, stamps)
@@ -118,39 +118,39 @@
         )
         assert granted != cancelled
         assert job.is_final == cancelled
-        assert one.loans.home["req-1"].loan.state == (ho.GRANTED if granted else ho.OFFERED)
+        assert one.loans.home["req-1"].loan.state == (handoff.GRANTED if granted else handoff.OFFERED)
 
 
 def test_a_lent_job_that_is_cancelled_ends_with_the_guests_word():
     one = Cluster()
     job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, ho.ACCEPT))
+    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     # What any node writes when a user cancels: the wish alone.
     book = one.loans.home["req-1"]
-    one.put("l/req-1", msgspec.structs.replace(book, loan=ho.cancel(book.loan)[0]))
+    one.put("l/req-1", msgspec.structs.replace(book, loan=handoff.cancel(book.loan)[0]))
     assert (
         job.state == JobState.QUEUED
         and job.offloaded_tasks == job.spec.all_tasks
         and not job.has_waiting_tasks
     )
-    assert "l/req-1" in one.changed and one.loans.home["req-1"].loan.state == ho.RECALLING
-    assert one.home(hear(one, ho.OVER, rows=0b011, done=0b001))
+    assert "l/req-1" in one.changed and one.loans.home["req-1"].loan.state == handoff.RECALLING
+    assert one.home(hear(one, handoff.OVER, rows=0b011, done=0b001))
     assert job.state == JobState.CANCELLED and one.loans.open_home == set()
 
 
 def test_the_last_result_ends_the_job_wherever_it_comes_from():
     one = Cluster()
     job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, ho.ACCEPT))
+    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     one.put("r/0/req-1", RouteRecord("2"))
     one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
-    assert one.home(hear(one, ho.RESULT, rows=0b011, done=0b011))
+    assert one.home(hear(one, handoff.RESULT, rows=0b011, done=0b011))
     assert job.state == JobState.DONE and one.loans.home["req-1"].loan.done == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
-    assert other.home(other.offer(job, 2)) and other.home(hear(other, ho.ACCEPT))
-    assert other.home(hear(other, ho.RESULT, rows=0b011, done=0b011))
+    assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
+    assert other.home(hear(other, handoff.RESULT, rows=0b011, done=0b011))
     # Its own task still runs: its owner will find the job complete.
     assert job.state == JobState.QUEUED and job.done_tasks == 0b011 and not job.offloaded_tasks
     other.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
@@ -160,7 +160,7 @@
 def test_what_is_borrowed_runs_with_the_numbers_of_home_and_in_no_aim_of_ours():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
-    book = GuestBook(ho.GuestLoan(ho.HOLDING, 9, 0b011000, high=9), NEED, 3, one)
+    book = GuestBook(handoff.GuestLoan(handoff.HOLDING, 9, 0b011000, high=9), NEED, 3, one)
     rec = borrowed_rec("huye", "req-5", book, 50)
     there.put("j/" + rec.spec.job_id, rec)
     job = there.view.jobs["lent-huye-5-9"]
@@ -183,14 +183,14 @@
     one = spec(job_id="req-5", kind="array", tasks=2)
     for first in ("begin", "stop"):
         there = Cluster()
-        book = GuestBook(ho.GuestLoan(ho.HOLDING, 9, 0b11, high=9), NEED, 3, one)
+        book = GuestBook(handoff.GuestLoan(handoff.HOLDING, 9, 0b11, high=9), NEED, 3, one)
         there.put("g/huye/req-5", book)
         local = "j/" + local_ref("huye", "req-5", 9)
         begin = (
             {local: borrowed_rec("huye", "req-5", book, 5)},
             {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
         )
-        stop = there.books.act_as_guest("huye", "req-5", (ho.give_back(book.loan), []))
+        stop = there.books.act_as_guest("huye", "req-5", (handoff.give_back(book.loan), []))
         if first == "begin":
             assert there.write(begin)
             # Decided before the job was there, written after: it withdraws the job as well.
@@ -200,13 +200,13 @@
             there = Cluster()
             there.put("g/huye/req-5", book)
             there.put(local, borrowed_rec("huye", "req-5", book, 5))
-            stop = there.books.act_as_guest("huye", "req-5", (ho.give_back(book.loan), []))
+            stop = there.books.act_as_guest("huye", "req-5", (handoff.give_back(book.loan), []))
             stop.orderly = True
             assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
             held = there.loans.guest["huye", "req-5"].loan
-            gone = there.books.act_as_guest("huye", "req-5", ho.stopped(held))
+            gone = there.books.act_as_guest("huye", "req-5", handoff.stopped(held))
             assert there.guest(gone) and job.state == JobState.CANCELLED
         else:
             assert there.guest(stop) and not there.write(begin)
@@ -245,8 +245,10 @@
         one = spec(job_id=f"lent-huye-{i}-1", kind="array", tasks=5, cpus=1.0)
         job = Job(JobRecord(one, 0), 1, 0)
         job.placed_tasks = (1 << running) - 1
-        state = ho.HOLDING if holding else ho.STOPPING
-        loans.append((("huye", f"req-{i}"), GuestBook(ho.GuestLoan(state, 1, 31), Need(1, 0, 0), since), job))
+        state = handoff.HOLDING if holding else handoff.STOPPING
+        loans.append(
+            (("huye", f"req-{i}"), GuestBook(handoff.GuestLoan(state, 1, 31), Need(1, 0, 0), since), job)
+        )
         jobs["huye", f"req-{i}"] = (since, running, holding)
     seen = Look(own=(float(wants), 0.0, 0.0), own_since_us=0 if wants else None)
     out = give_way(seen, loans, waited * S, 5 * S, 10**12, 0)
@@ -395,12 +397,12 @@
 
     def hear(self, to, message):
         if to == "guest":
-            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(ho.GuestLoan())
-            loan, says = ho.guest_hears(book.loan, message, True)
+            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(handoff.GuestLoan())
+            loan, says = handoff.guest_hears(book.loan, message, True)
             if loan == book.loan:
                 self.say("home", says)
                 return
-            one = self.home.view.jobs["req-1"].spec if loan.state == ho.RESERVED else book.spec
+            one = self.home.view.jobs["req-1"].spec if loan.state == handoff.RESERVED else book.spec
             entry = Entry("g/huye/req-1", book, GuestBook(loan, NEED, 0, one), "huye", [])
             if self.there.guest(entry):
                 self.say("home", says)
@@ -408,7 +410,7 @@
         book = self.home.loans.home.get("req-1")
         if book is None:
             return
-        loan, says = ho.home_hears(book.loan, message)
+        loan, says = handoff.home_hears(book.loan, message)
         if loan == book.loan or self.home.home(
             Entry("l/req-1", book, msgspec.structs.replace(book, loan=loan), "kigali", [])
         ):
@@ -428,11 +430,11 @@
             self.do(self.home, self.home.home, self.home.offer(job, 2), "guest")
         elif what == "withdraw" and "req-1" in self.home.loans.open_home:
             loan = self.home.loans.home["req-1"].loan
-            self.do(self.home, self.home.home, self.home.books.act("req-1", ho.withdraw(loan)), "guest")
+            self.do(self.home, self.home.home, self.home.books.act("req-1", handoff.withdraw(loan)), "guest")
         elif what == "cancel" and not job.is_final:
             mine = self.home.loans.home.get("req-1")
-            if mine is not None and mine.loan.state in (ho.GRANTED, ho.RECALLING):
-                self.home.put("l/req-1", msgspec.structs.replace(mine, loan=ho.cancel(mine.loan)[0]))
+            if mine is not None and mine.loan.state in (handoff.GRANTED, handoff.RECALLING):
+                self.home.put("l/req-1", msgspec.structs.replace(mine, loan=handoff.cancel(mine.loan)[0]))
             else:
                 self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.CANCELLED, 2))
                 self.answers.append(JobState.CANCELLED)
@@ -458,11 +460,13 @@
                 self.there.put(f"p/0/{name}/0", PlacementRecord({}, f"{there.done_tasks | 1 << task:x}", 1))
                 if there.all_tasks_done:
                     self.there.put(f"j/{name}", JobRecord(there.spec, 1, JobState.DONE, 2))
-        elif what == "give back" and book is not None and book.loan.state == ho.HOLDING:
-            entry = self.there.books.act_as_guest("huye", "req-1", (ho.give_back(book.loan), []))
+        elif what == "give back" and book is not None and book.loan.state == handoff.HOLDING:
+            entry = self.there.books.act_as_guest("huye", "req-1", (handoff.give_back(book.loan), []))
             self.there.guest(entry)
-        elif what == "tend" and book is not None and book.loan.state in (ho.HOLDING, ho.STOPPING):
-            if (there is not None and there.is_final) or (there is None and book.loan.state == ho.STOPPING):
+        elif what == "tend" and book is not None and book.loan.state in (handoff.HOLDING, handoff.STOPPING):
+            if (there is not None and there.is_final) or (
+                there is None and book.loan.state == handoff.STOPPING
+            ):
                 loan, says = book.loan, []
                 done = (
                     0
@@ -472,16 +476,16 @@
                     else there.done_tasks & loan.rows
                 )
                 for task in range(3):
-                    if done >> task & 1 and loan.state in (ho.HOLDING, ho.STOPPING):
-                        loan, says = ho.done_at_guest(loan, task)
-                if loan.state == ho.STOPPING:
-                    loan, says = ho.stopped(loan)
+                    if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
+                        loan, says = handoff.done_at_guest(loan, task)
+                if loan.state == handoff.STOPPING:
+                    loan, says = handoff.stopped(loan)
                 entry = self.there.books.act_as_guest("huye", "req-1", (loan, says))
                 self.do(self.there, self.there.guest, entry, "home")
         elif what == "again":
             mine = self.home.loans.home.get("req-1")
-            self.say("guest", ho.home_says(mine.loan) if mine else [])
-            self.say("home", ho.guest_says(book.loan) if book else [])
+            self.say("guest", handoff.home_says(mine.loan) if mine else [])
+            self.say("home", handoff.guest_says(book.loan) if book else [])
 
 
 STEPS = st.sampled_from(
@@ -525,7 +529,7 @@
     if job.state == JobState.DONE:
         assert sorted(tasks) == [0, 1, 2]
     book, _, _ = both.local()
-    assert book is None or book.loan.state == ho.NONE
+    assert book is None or book.loan.state == handoff.NONE
     assert not both.home.loans.open_home
 
 
@@ -568,7 +572,7 @@
     assert ask() == {"l/req-1": 0}
     assert one.home(one.offer(job, 2))
     assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
-    assert one.home(hear(one, ho.ACCEPT))
+    assert one.home(hear(one, handoff.ACCEPT))
     assert ask() is None and one.loans.home["req-1"].loan.cancel
     stamp = one.view.version_of("l/req-1")
     assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -10,8 +10,7 @@
 from hypothesis import strategies as st
 
 from pearstep.emulator.cloud import free_port
-from pearstep.federation import handoff as ho
-from pearstep.federation import peer_health as pe
+from pearstep.federation import handoff, peer_health
 from pearstep.federation.desk import Desk
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import Books, Need, Said
@@ -96,7 +95,7 @@
         books = self.b.desk.books
         for (peer, job), book in list(books.guest.items()):
             if book.loan.startable:
-                await self.b.desk.do(books.act_as_guest(peer, job, ho.done_at_guest(book.loan, 0)))
+                await self.b.desk.do(books.act_as_guest(peer, job, handoff.done_at_guest(book.loan, 0)))
 
 
 def play(scenario, tmp_path):
@@ -120,15 +119,15 @@
 def test_loans_go_over_the_link_and_come_to_one_answer(tmp_path):
     async def scenario(world):
         await world.steps(4)
-        assert world.a.desk.peers["nyarugenge"].state == world.b.desk.peers["huye"].state == pe.UP
+        assert world.a.desk.peers["nyarugenge"].state == world.b.desk.peers["huye"].state == peer_health.UP
         await lend(world, "req-1", "req-2")
         await world.steps(1)
-        assert set(states(world).values()) == {ho.GRANTED}
-        assert [b.loan.state for b in world.b.desk.books.guest.values()] == [ho.HOLDING] * 2
+        assert set(states(world).values()) == {handoff.GRANTED}
+        assert [b.loan.state for b in world.b.desk.books.guest.values()] == [handoff.HOLDING] * 2
         await world.finish()
         await world.steps(2)
         assert all(b.loan.answer == "done" for b in world.a.desk.books.home.values())
-        assert all(b.loan.state == ho.NONE for b in world.b.desk.books.guest.values())
+        assert all(b.loan.state == handoff.NONE for b in world.b.desk.books.guest.values())
         # Three records written at home for each loan, four at the guest.
         assert (world.a.commits, world.b.commits) == (6, 8)
 
@@ -143,11 +142,11 @@
         world.a.cut = True
         await world.finish()
         await world.steps(17)
-        assert world.a.desk.peers["nyarugenge"].state == pe.CUT
+        assert world.a.desk.peers["nyarugenge"].state == peer_health.CUT
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
         books = world.a.desk.books
-        await world.a.desk.do(books.act("req-3", ho.cancel(books.home["req-3"].loan)))
-        assert states(world)["req-3"] == ho.RECALLING and not books.home["req-3"].loan.answer
+        await world.a.desk.do(books.act("req-3", handoff.cancel(books.home["req-3"].loan)))
+        assert states(world)["req-3"] == handoff.RECALLING and not books.home["req-3"].loan.answer
         world.a.crash()
         world.b.crash()
         world.a.cut = False
@@ -155,7 +154,7 @@
         home = world.a.desk.books.home
         # The guest had finished all of them before it heard of anything: that is the answer.
         assert {b.loan.answer for b in home.values()} == {"done"}
-        assert world.a.desk.peers["nyarugenge"].state == pe.UP
+        assert world.a.desk.peers["nyarugenge"].state == peer_health.UP
 
     play(scenario, tmp_path)
 
@@ -169,7 +168,7 @@
         world.b.keys.issue()
         assert world.a.link.renew() and world.b.link.renew() and not world.b.link.renew()
         await world.steps(1)
-        assert states(world)["req-1"] == ho.GRANTED
+        assert states(world)["req-1"] == handoff.GRANTED
         world.a.keys.revoke(old.serial)
         new = [i for i in world.a.keys.show() if i.state == "current"]
         world.a.keys.revoke(new[0].serial)
@@ -180,7 +179,9 @@
         world.now += S
         await world.a.desk.step()
         assert world.b.link.refused > refused and world.b.desk.peers["huye"].heard_us == heard
-        assert states(world)["req-1"] == ho.GRANTED  # nobody's word ends it, and nothing is started at home
+        assert (
+            states(world)["req-1"] == handoff.GRANTED
+        )  # nobody's word ends it, and nothing is started at home
         world.a.keys.issue()
         await world.steps(4)
         assert world.a.desk.books.home["req-1"].loan.answer == "done"
@@ -206,7 +207,7 @@
     play(scenario, tmp_path)
 
 
-KINDS = st.sampled_from([ho.OFFER, ho.GRANT, ho.RESULT, "a later kind"])
+KINDS = st.sampled_from([handoff.OFFER, handoff.GRANT, handoff.RESULT, "a later kind"])
 ROWS = st.integers(0, 2**40)
 SAID = st.builds(
     Said, st.text(max_size=10), st.builds(Message, KINDS, st.integers(0, 2**62), ROWS, ROWS, st.booleans())
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from pearstep.domain.units import SECOND_US
-from pearstep.federation import handoff as ho
+from pearstep.federation import handoff
 from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need, Said
 from pearstep.federation.link import Envelope, decode, encode
@@ -63,7 +63,7 @@
 def test_a_renewal_reaches_the_owners_in_the_step_that_writes_it():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=4)
-    book = GuestBook(GuestLoan(ho.HOLDING, 9, 0b11, high=9), NEED, 100, one, TERM)
+    book = GuestBook(GuestLoan(handoff.HOLDING, 9, 0b11, high=9), NEED, 100, one, TERM)
     there.put("g/huye/req-5", book)
     rec = borrowed_rec("huye", "req-5", book, 100, 500)
     assert rec.run_until_us == 500 and borrowed_rec("huye", "req-5", book, 500, 500) is None
@@ -76,7 +76,7 @@
     # Beside a stop only one of the two stands.
     again = Entry("g/huye/req-5", after, msgspec.structs.replace(after, since_us=400), "huye", [])
     late = guest_writes(there.view, "huye", "req-5", again, 401, 800)
-    given_back = msgspec.structs.replace(after, loan=ho.give_back(after.loan))
+    given_back = msgspec.structs.replace(after, loan=handoff.give_back(after.loan))
     stop = Entry("g/huye/req-5", after, given_back, "huye", [])
     assert there.write(guest_writes(there.view, "huye", "req-5", stop, 402)) and not there.write(late)
     assert job.is_final and job.run_until_us == 700
@@ -86,12 +86,12 @@
     rows = ((TERM, True, True), (30 * SECOND_US, True, False), (0, True, False), (0, False, True))
     for term_us, repeats, taken in rows:
         books = Books(1, {"huye": Grant(9, 9, 9)}, 30 * SECOND_US, LEASE, MARGIN)
-        said = Said("req-1", Message(ho.OFFER, 5, 1, repeats=repeats), NEED, spec(), term_us)
+        said = Said("req-1", Message(handoff.OFFER, 5, 1, repeats=repeats), NEED, spec(), term_us)
         found = books.hear("huye", said, Need(9, 9, 9), 7)
         if taken:
-            assert isinstance(found, Entry) and found.after.loan.state == ho.RESERVED
+            assert isinstance(found, Entry) and found.after.loan.state == handoff.RESERVED
         else:
-            assert [s.message.kind for s in found] == [ho.REFUSE], (term_us, repeats)
+            assert [s.message.kind for s in found] == [handoff.REFUSE], (term_us, repeats)
 
 
 class Side:
@@ -137,7 +137,7 @@
         time is over, when it is told to stop with time to save.
         """
         book = self.guest()
-        if book is None or book.loan.state != ho.HOLDING:
+        if book is None or book.loan.state != handoff.HOLDING:
             return
         until = self.there.books.until_us(book)
         if self.there.wall(self.now) < until:
@@ -146,7 +146,7 @@
     def take_back(self):
         book = self.home.books.home.get("req-1")
         if book is not None and self.home.books.over(book, self.home.wall(self.now)):
-            entry = self.home.books.act("req-1", ho.term_over(book.loan))
+            entry = self.home.books.act("req-1", handoff.term_over(book.loan))
             self.write(self.home, entry)
             if self.runs_until is not None:
                 # What was answered last, and what it then needs to save and to be noticed.
@@ -157,10 +157,10 @@
         back.
         """
         book, home = self.guest(), self.home.books.home["req-1"]
-        if guest and book is not None and book.loan.state == ho.HOLDING:
+        if guest and book is not None and book.loan.state == handoff.HOLDING:
             target = self.there.books.until_us(book) - 1
             side, at = self.there, target
-        elif not guest and home.loan.state in (ho.GRANTED, ho.RECALLING):
+        elif not guest and home.loan.state in (handoff.GRANTED, handoff.RECALLING):
             side, at = self.home, home.since_us + self.home.books.term(home).back_us
         else:
             return
@@ -213,8 +213,10 @@
                 pair.channel.append((False, said))
         elif what == "say":
             book, loan = pair.guest(), pair.home.books.home["req-1"].loan
-            pair.channel += [(True, Said("req-1", m, NEED, pair.job, TERM)) for m in ho.home_says(loan)]
-            pair.channel += [(False, Said("req-1", m)) for m in (ho.guest_says(book.loan) if book else [])]
+            pair.channel += [(True, Said("req-1", m, NEED, pair.job, TERM)) for m in handoff.home_says(loan)]
+            pair.channel += [
+                (False, Said("req-1", m)) for m in (handoff.guest_says(book.loan) if book else [])
+            ]
         elif what == "end":
             pair.edge(guest=False)
         pair.take_back()
@@ -223,7 +225,7 @@
     pair.owners_serve()
     pair.edge(guest=False)
     pair.take_back()
-    assert pair.home.books.home["req-1"].loan.state == ho.AT_HOME
+    assert pair.home.books.home["req-1"].loan.state == handoff.AT_HOME
 
 
 def test_terms_that_are_renewed_last():
@@ -232,7 +234,7 @@
     pair.write(pair.home, lend)
     for _ in range(4):
         pair.deliver(len(pair.channel) - 1)
-    assert pair.guest().loan.state == ho.HOLDING
+    assert pair.guest().loan.state == handoff.HOLDING
     half = Term(TERM, LEASE, pair.job.save_us, MARGIN).renew_us
     assert pair.there.books.renewal("huye", "req-1", pair.there.wall(half - 1)) is None
     for _ in range(5):
@@ -244,11 +246,11 @@
         assert pair.guest().since_us == pair.there.wall(pair.now)
         assert pair.home.books.home["req-1"].since_us == pair.now
     # What is recalled is not renewed; its guest is told so again.
-    entry = pair.home.books.act("req-1", ho.recall(pair.home.books.home["req-1"].loan))
+    entry = pair.home.books.act("req-1", handoff.recall(pair.home.books.home["req-1"].loan))
     pair.write(pair.home, entry)
-    said = Said("req-1", Message(ho.RENEW, pair.guest().loan.number), at_us=1)
+    said = Said("req-1", Message(handoff.RENEW, pair.guest().loan.number), at_us=1)
     out = pair.home.books.hear("kigali", said, NEED, 0)
-    assert [s.message.kind for s in out] == [ho.RECALL]
+    assert [s.message.kind for s in out] == [handoff.RECALL]
 
 
 # -- a peer of the release before -------------------------------------------------------------------
@@ -268,7 +270,10 @@
 
 
 @given(
-    st.sampled_from([ho.OFFER, ho.GRANT, ho.RECALL, ho.CONFIRM, ho.RENEW, "something later"]), st.booleans()
+    st.sampled_from(
+        [handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM, handoff.RENEW, "something later"]
+    ),
+    st.booleans(),
 )
 def test_an_older_peer_reads_what_it_knows_and_we_read_what_it_says(kind, whole):
     new = Envelope(1, "huye", [Said("req-1", Message(kind, 7, 3), NEED, spec(), TERM, 5)], whole)
@@ -279,11 +284,11 @@
     back = decode(msgspec.msgpack.encode(older))
     assert back.items[0].spec is None and back.offer is None
     # Without the job itself nothing can be begun: it goes home again, and is not run as something else.
-    book = GuestBook(GuestLoan(ho.HOLDING, 7, 3, high=7), NEED, 0, back.items[0].spec)
+    book = GuestBook(GuestLoan(handoff.HOLDING, 7, 3, high=7), NEED, 0, back.items[0].spec)
     assert borrowed_rec("huye", "req-1", book, 0) is None
     # What nobody knows here changes nothing.
     books = Books(1, {}, 1)
-    books.home["req-1"] = HomeBook(HomeLoan(2, state=ho.GRANTED, number=7, rows=3), "kigali")
+    books.home["req-1"] = HomeBook(HomeLoan(2, state=handoff.GRANTED, number=7, rows=3), "kigali")
     if kind == "something later":
         assert books.hear("kigali", back.items[0], NEED, 0) == []
     assert local_ref("huye", "req-1", 7) == "lent-huye-1-7"
