--- a/measurements/federation_overflow.py
+++ b/measurements/federation_overflow.py
@@ -23,7 +23,7 @@
 
 from measurements.harness import say
 from pearstep.federation import handoff
-from pearstep.federation.handoff import GuestLoan, HomeLoan
+from pearstep.federation.handoff import OriginOffload, RemoteOffload
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 
 S = 1_000_000
@@ -47,8 +47,8 @@
         self.guest_runs: dict[int, int] = {}  # job -> epoch of its run
         self.own_queue: deque[tuple[int, int]] = deque()
         self.own_runs = 0
-        self.jobs: dict[int, HomeLoan] = {}
-        self.loans: dict[int, GuestLoan] = {}
+        self.jobs: dict[int, OriginOffload] = {}
+        self.loans: dict[int, RemoteOffload] = {}
         self.left: dict[int, int] = {}
         self.finished: dict[int, int] = {}
         self.own_waits: list[int] = []
@@ -58,7 +58,7 @@
         self.epoch = 0
         self.own_left = int(own_load * SLOTS * 20)
         for i in range(3 * SLOTS):
-            self.jobs[i] = HomeLoan(1)
+            self.jobs[i] = OriginOffload(1)
             self.left[i] = int(self.rng.exponential(60) * S) + S
             self.home_queue.append(i)
         if own_load:
@@ -77,13 +77,13 @@
 
     # -- home ------------------------------------------------------------------------------------
 
-    def put_home(self, i: int, pair: tuple[HomeLoan, list]) -> None:
+    def put_home(self, i: int, pair: tuple[OriginOffload, list]) -> None:
         if pair[0] != self.jobs[i]:
             self.home_changes += 1
-            if pair[0].answer and not self.jobs[i].answer:
+            if pair[0].final_state and not self.jobs[i].final_state:
                 assert i not in self.finished, "answered twice"
                 self.finished[i] = self.now
-            if pair[0].state == handoff.AT_HOME and not pair[0].answer:
+            if pair[0].state == handoff.AT_ORIGIN and not pair[0].final_state:
                 self.home_queue.appendleft(i)
             self.jobs[i] = pair[0]
         for message in pair[1]:
@@ -98,7 +98,7 @@
 
     def home_done(self, i: int) -> None:
         del self.home_runs[i]
-        self.put_home(i, (handoff.done_at_home(self.jobs[i], 0), []))
+        self.put_home(i, (handoff.task_done_at_origin(self.jobs[i], 0), []))
         self.start_home()
 
     def look(self) -> None:
@@ -145,18 +145,18 @@
 
     def guest_hears(self, i: int, message: handoff.Message) -> None:
         free = SLOTS - self.own_runs - len(self.guest_runs) - len(self.own_queue) > 0
-        self.put_guest(i, handoff.guest_hears(self.loans.get(i, GuestLoan()), message, free))
+        self.put_guest(i, handoff.receive_at_remote(self.loans.get(i, RemoteOffload()), message, free))
 
-    def put_guest(self, i: int, pair: tuple[GuestLoan, list]) -> None:
-        if pair[0] != self.loans.get(i, GuestLoan()):
+    def put_guest(self, i: int, pair: tuple[RemoteOffload, list]) -> None:
+        if pair[0] != self.loans.get(i, RemoteOffload()):
             self.guest_changes += 1
             self.loans[i] = pair[0]
         for message in pair[1]:
             self.at(
                 self.now + LINK_US,
-                lambda m=message: self.put_home(i, handoff.home_hears(self.jobs[i], m)),  # type: ignore[misc]
+                lambda m=message: self.put_home(i, handoff.receive_at_origin(self.jobs[i], m)),  # type: ignore[misc]
             )
-        if self.loans.get(i, GuestLoan()).startable and i not in self.guest_runs:
+        if self.loans.get(i, RemoteOffload()).startable and i not in self.guest_runs:
             self.epoch += 1
             self.guest_runs[i] = self.epoch
             assert i not in self.home_runs, "runs twice"
@@ -165,7 +165,7 @@
     def guest_done(self, i: int, epoch: int) -> None:
         if self.guest_runs.get(i) == epoch and self.loans[i].state == handoff.HOLDING:
             del self.guest_runs[i]
-            self.put_guest(i, handoff.done_at_guest(self.loans[i], 0))
+            self.put_guest(i, handoff.task_done_at_remote(self.loans[i], 0))
             self.start_own()
 
     def own_arrives(self) -> None:
@@ -190,7 +190,7 @@
                 break
             if self.loans[i].state == handoff.HOLDING:
                 stopping += 1
-                self.put_guest(i, (handoff.give_back(self.loans[i]), []))
+                self.put_guest(i, (handoff.begin_return(self.loans[i]), []))
                 self.at(self.now + SAVE_US, lambda j=i: self.stopped(j))  # type: ignore[misc]
 
     def stopped(self, i: int) -> None:
@@ -198,7 +198,7 @@
         self.returned += 1
         self.returns[i] = self.returns.get(i, 0) + 1
         self.left[i] = max(self.left[i] // 2, S)
-        self.put_guest(i, handoff.stopped(self.loans[i]))
+        self.put_guest(i, handoff.all_tasks_stopped(self.loans[i]))
         self.start_own()
 
     def own_done(self) -> None:
--- a/pearstep/federation/handoff.py
+++ b/pearstep/federation/handoff.py
@@ -1,24 +1,23 @@
 """The protocol that offloads tasks of a job from the origin cluster to a remote one, as two state machines.
 
-In the names of this module the origin cluster is ``home``, the remote cluster ``guest``, and an offload a
-``loan``.
-
-Both sides keep one durable record of an offload and act on it alone. Every function takes a record and
-returns the next one and the messages that it permits, without input or output: the caller commits the record
-in a compare-and-swap transaction first, and sends then. Whatever a record permits may be sent again at any
-time (``home_says``, ``guest_says``), so that a crash between writing and sending, or a lost message, needs no
-recovery of its own. ``tests/test_handoff_model.py`` explores all states of both machines over a channel that
-loses, duplicates, delays and reorders messages.
-
-    home:  at home -> offered -> granted -> (recalling) -> at home | settled
-    guest: none -> reserved -> holding -> (stopping) -> given back | finished -> none
-
-- Nothing starts in the remote cluster before it has the *grant*. Until the origin has committed the grant,
-  it may withdraw the offer by itself, whatever the remote cluster does. From then on only the remote cluster
-  ends the offload, or, for work that may run twice, the end of its term, or an operator.
-- Numbers of offloads only grow, and the remote cluster remembers the highest that it has seen of each
-  origin: an offer that arrives minutes late, after its offload has ended, is refused, and with it a grant
-  that arrives later still.
+In stored values and messages the origin cluster is called ``home``, the remote cluster ``guest``, and an
+offload a ``loan``.
+
+Each side keeps one durable record of an offload and decides by that record alone. Every function takes a
+record and returns the next one and the messages that it permits, without input or output. The caller commits
+the record in a compare-and-swap transaction first and then sends the messages. The messages that a record
+permits (``origin_messages``, ``remote_messages``) may be sent again at any time, so a crash between writing
+and sending, or a lost message, needs no recovery of its own. ``tests/test_handoff_model.py`` explores all
+states of both machines over a channel that loses, duplicates, delays and reorders messages.
+
+    origin: at home -> offered -> granted -> (recalling) -> at home | settled
+    remote: none -> reserved -> holding -> (stopping) -> given back | finished -> none
+
+- Nothing starts in the remote cluster before it has received the *grant*. The origin may withdraw the offer
+  by itself before it has committed the grant, whatever the remote cluster does. After that, the offload ends
+  only through the remote cluster, through an operator, or, for work that may run twice, with its term.
+- Offload numbers only grow, and the remote cluster stores the highest number that it has seen of each job. It
+  refuses an offer that arrives after its offload has ended, even minutes later, and then a late grant of it.
 """
 
 from __future__ import annotations
@@ -27,43 +26,43 @@
 
 from pearstep.domain.state_machine import TransitionTable
 
-AT_HOME = "at home"
+AT_ORIGIN = "at home"
 OFFERED = "offered"
 GRANTED = "granted"
 RECALLING = "recalling"
 SETTLED = "settled"  # the job has its final answer
 
-HOME = TransitionTable(
+ORIGIN_STATES = TransitionTable(
     "loan at home",
     {
-        AT_HOME: (OFFERED, SETTLED),
-        OFFERED: (AT_HOME, GRANTED, SETTLED),
-        GRANTED: (AT_HOME, RECALLING, SETTLED),
-        RECALLING: (AT_HOME, SETTLED),
+        AT_ORIGIN: (OFFERED, SETTLED),
+        OFFERED: (AT_ORIGIN, GRANTED, SETTLED),
+        GRANTED: (AT_ORIGIN, RECALLING, SETTLED),
+        RECALLING: (AT_ORIGIN, SETTLED),
         SETTLED: (),
     },
 )
 
-NONE = "none"
+NO_OFFLOAD = "none"
 RESERVED = "reserved"  # resources are reserved for a bounded time; nothing may start
-HOLDING = "holding"  # its tasks may run here
-STOPPING = "stopping"  # they are being stopped; nothing may start
-GIVEN_BACK = "given back"  # nothing runs; the origin has not confirmed that it knows
-FINISHED = "finished"  # all of it is done; the origin has not confirmed that it knows
+HOLDING = "holding"  # tasks may run here
+STOPPING = "stopping"  # tasks are being stopped; nothing may start
+RETURNED = "given back"  # nothing runs; not confirmed by the origin
+FINISHED = "finished"  # all tasks are done; not confirmed by the origin
 
-GUEST = TransitionTable(
+REMOTE_STATES = TransitionTable(
     "loan at the guest",
     {
-        NONE: (RESERVED,),
-        RESERVED: (NONE, HOLDING, RESERVED),
+        NO_OFFLOAD: (RESERVED,),
+        RESERVED: (NO_OFFLOAD, HOLDING, RESERVED),
         HOLDING: (STOPPING, FINISHED),
-        STOPPING: (GIVEN_BACK, FINISHED),
-        GIVEN_BACK: (NONE, RESERVED),
-        FINISHED: (NONE, RESERVED),
+        STOPPING: (RETURNED, FINISHED),
+        RETURNED: (NO_OFFLOAD, RESERVED),
+        FINISHED: (NO_OFFLOAD, RESERVED),
     },
 )
 
-OFFER, ACCEPT, REFUSE, GRANT, RECALL, OVER, RESULT, CONFIRM = (
+OFFER, ACCEPT, REFUSE, GRANT, RECALL, ENDED, RESULT, CONFIRM = (
     "offer",
     "accept",
     "refuse",
@@ -73,282 +72,341 @@
     "result",
     "confirm",
 )
-# For work with a term: the remote cluster asks for another term, and gets it.
+# The remote cluster's request to renew the term of work that may run twice, and the origin's answer.
 RENEW, RENEWED = "renew", "renewed"
 
 
-class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
+class Message(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=False,
+    rename={"task_mask": "rows", "done_mask": "done", "rerunnable": "repeats"},
+):
     """A message about the offload ``number``.
 
-    ``rows`` is the mask of the tasks that it is about, ``done`` of those that are done, and ``repeats`` tells
-    whether they may run twice. Later versions may add fields, which older ones ignore.
+    Later versions may add fields, which older versions ignore.
+
+    Attributes:
+        kind: The kind of message, such as ``OFFER``.
+        number: The number of the offload.
+        task_mask: The mask of the tasks that the message is about.
+        done_mask: The mask of those tasks that are done.
+        rerunnable: Whether the tasks may run twice.
+        version: The version of the message format.
     """
 
     kind: str
     number: int
-    rows: int = 0
-    done: int = 0
-    repeats: bool = False
+    task_mask: int = 0
+    done_mask: int = 0
+    rerunnable: bool = False
     version: int = 1
 
 
-class HomeLoan(msgspec.Struct, frozen=True):
+class OriginOffload(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "task_mask": "rows",
+        "done_mask": "done",
+        "rerunnable": "repeats",
+        "cancel_requested": "cancel",
+        "final_state": "answer",
+    },
+):
     """The record of a job's offload in the origin cluster.
 
     Attributes:
         tasks: The number of tasks of the job.
-        state: A state of ``HOME``.
+        state: A state of ``ORIGIN_STATES``.
         number: The number of this offload, or of the last one.
-        rows: The mask of the offloaded tasks.
-        done: The mask of tasks that are done, wherever they ran.
-        repeats: Whether the tasks may run twice.
-        cancel: Whether the user wants to cancel the job, which counts once no task of it can run any more.
-        answer: The final state of the job, as the user is told.
+        task_mask: The mask of the offloaded tasks.
+        done_mask: The mask of tasks that are done in either cluster.
+        rerunnable: Whether the tasks may run twice.
+        cancel_requested: Whether the user has requested a cancellation; it takes effect once no task can run.
+        final_state: The final state of the job, as reported to the user; empty while there is none.
     """
 
     tasks: int
-    state: str = AT_HOME
+    state: str = AT_ORIGIN
     number: int = 0
-    rows: int = 0
-    done: int = 0
-    repeats: bool = False
-    cancel: bool = False
-    answer: str = ""
+    task_mask: int = 0
+    done_mask: int = 0
+    rerunnable: bool = False
+    cancel_requested: bool = False
+    final_state: str = ""
 
     @property
-    def all(self) -> int:
+    def all_tasks(self) -> int:
         """The mask of all tasks."""
         return (1 << self.tasks) - 1
 
     @property
     def startable(self) -> int:
         """The mask of tasks that may start in the origin cluster now."""
-        if self.answer or self.cancel:
+        if self.final_state or self.cancel_requested:
             return 0
-        lent = 0 if self.state == AT_HOME else self.rows
-        return self.all & ~self.done & ~lent
-
-
-class GuestLoan(msgspec.Struct, frozen=True):
+        offloaded = 0 if self.state == AT_ORIGIN else self.task_mask
+        return self.all_tasks & ~self.done_mask & ~offloaded
+
+
+class RemoteOffload(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "task_mask": "rows",
+        "done_mask": "done",
+        "rerunnable": "repeats",
+        "highest_number": "high",
+    },
+):
     """The record of an offload in the remote cluster.
 
-    ``high`` is the highest number that was ever seen of this origin; it outlives the offload.
+    ``highest_number`` is the highest offload number that was ever received for this job of the origin; it is
+    kept after the offload has ended.
     """
 
-    state: str = NONE
+    state: str = NO_OFFLOAD
     number: int = 0
-    rows: int = 0
-    done: int = 0
-    repeats: bool = False
-    high: int = 0
+    task_mask: int = 0
+    done_mask: int = 0
+    rerunnable: bool = False
+    highest_number: int = 0
 
     @property
     def startable(self) -> int:
         """The mask of tasks that may start here now."""
-        return self.rows & ~self.done if self.state == HOLDING else 0
+        return self.task_mask & ~self.done_mask if self.state == HOLDING else 0
 
 
-Home = tuple[HomeLoan, list[Message]]
-Guest = tuple[GuestLoan, list[Message]]
+OriginStep = tuple[OriginOffload, list[Message]]
+RemoteStep = tuple[RemoteOffload, list[Message]]
 
 
-def _home(loan: HomeLoan, to: str, **fields: object) -> HomeLoan:
-    """Change the state of a record of the origin cluster; no other function does."""
-    HOME.check(loan.state, to)
-    return _settle(msgspec.structs.replace(loan, state=to, **fields))
+def _with_origin_state(offload: OriginOffload, to: str, **fields: object) -> OriginOffload:
+    """Return an origin record in another state; every change of its state but the final one is made here."""
+    ORIGIN_STATES.check(offload.state, to)
+    return _settle(msgspec.structs.replace(offload, state=to, **fields))
 
 
-def _settle(loan: HomeLoan) -> HomeLoan:
-    """Enter the final answer as soon as there can be one; it never changes."""
-    if loan.answer:
-        return loan
-    if loan.done == loan.all:
-        return msgspec.structs.replace(loan, state=SETTLED, answer="done")
-    if loan.cancel and loan.state == AT_HOME:
-        return msgspec.structs.replace(loan, state=SETTLED, answer="cancelled")
-    return loan
+def _settle(offload: OriginOffload) -> OriginOffload:
+    """Set the final state of the job as soon as it is certain; it never changes afterwards."""
+    if offload.final_state:
+        return offload
+    if offload.done_mask == offload.all_tasks:
+        return msgspec.structs.replace(offload, state=SETTLED, final_state="done")
+    if offload.cancel_requested and offload.state == AT_ORIGIN:
+        return msgspec.structs.replace(offload, state=SETTLED, final_state="cancelled")
+    return offload
 
 
-def _guest(loan: GuestLoan, to: str, **fields: object) -> GuestLoan:
-    """Change the state of a record of the remote cluster; no other function does."""
-    GUEST.check(loan.state, to)
-    return msgspec.structs.replace(loan, state=to, **fields)
+def _with_remote_state(offload: RemoteOffload, to: str, **fields: object) -> RemoteOffload:
+    """Return a remote record in another state; every change of its state is made here."""
+    REMOTE_STATES.check(offload.state, to)
+    return msgspec.structs.replace(offload, state=to, **fields)
 
 
 # -- the origin cluster --------------------------------------------------------------------------
 
 
-def offer(loan: HomeLoan, number: int, rows: int, running: int) -> Home:
+def offer(offload: OriginOffload, number: int, task_mask: int, running: int) -> OriginStep:
     """Offer tasks that neither run nor are done, under a number that was never used.
 
-    Gangs are offered as a whole; the caller makes sure of that.
+    The caller offers all tasks of a gang or none.
     """
-    if loan.state != AT_HOME or loan.answer or loan.cancel or number <= loan.number:
-        return loan, []
-    rows &= loan.all & ~loan.done & ~running
-    if not rows:
-        return loan, []
-    new = _home(loan, OFFERED, number=number, rows=rows)
-    return new, home_says(new)
-
-
-def withdraw(loan: HomeLoan) -> Home:
-    """Withdraw an offer that was not granted: nothing can have started, and nothing will."""
-    return (_home(loan, AT_HOME, rows=0), []) if loan.state == OFFERED else (loan, [])
+    if (
+        offload.state != AT_ORIGIN
+        or offload.final_state
+        or offload.cancel_requested
+        or number <= offload.number
+    ):
+        return offload, []
+    task_mask &= offload.all_tasks & ~offload.done_mask & ~running
+    if not task_mask:
+        return offload, []
+    changed = _with_origin_state(offload, OFFERED, number=number, task_mask=task_mask)
+    return changed, origin_messages(changed)
+
+
+def withdraw(offload: OriginOffload) -> OriginStep:
+    """Withdraw an offer that was not granted, so that no task of it can have started or can start later."""
+    return (
+        (_with_origin_state(offload, AT_ORIGIN, task_mask=0), [])
+        if offload.state == OFFERED
+        else (offload, [])
+    )
 
 
-def recall(loan: HomeLoan) -> Home:
-    """Ask for the tasks back; they are back once the remote cluster says so."""
-    if loan.state != GRANTED:
-        return withdraw(loan)
-    new = _home(loan, RECALLING)
-    return new, home_says(new)
+def recall(offload: OriginOffload) -> OriginStep:
+    """Ask for the tasks back; they are returned once the remote cluster reports that none of them runs."""
+    if offload.state != GRANTED:
+        return withdraw(offload)
+    changed = _with_origin_state(offload, RECALLING)
+    return changed, origin_messages(changed)
 
 
-def cancel(loan: HomeLoan) -> Home:
+def cancel(offload: OriginOffload) -> OriginStep:
     """Cancel the job for its user.
 
-    That counts at once if certainly nothing is offloaded, else once the remote cluster has said that nothing
-    runs. Until then the user is told to ask again, never that the job is cancelled.
+    The job is cancelled at once if nothing is offloaded, and otherwise once the remote cluster has reported
+    that nothing runs. Before that the user is told to ask again, never that the job is cancelled.
     """
-    if loan.answer:
-        return loan, []
-    new = msgspec.structs.replace(loan, cancel=True)
-    if new.state == AT_HOME:
-        return _settle(new), []
-    return recall(new)
+    if offload.final_state:
+        return offload, []
+    changed = msgspec.structs.replace(offload, cancel_requested=True)
+    if changed.state == AT_ORIGIN:
+        return _settle(changed), []
+    return recall(changed)
 
 
-def term_over(loan: HomeLoan) -> Home:
-    """Take back work that may run twice, whose term is over.
+def take_back_after_term(offload: OriginOffload) -> OriginStep:
+    """Take back work that may run twice, after the end of its term.
 
-    The time that the remote cluster may need to stop is over, too (see ``terms``). Other work has no term.
+    The time that the remote cluster may need to stop has passed as well (see ``terms``). Other work has no
+    term.
     """
-    if loan.repeats and loan.state in (GRANTED, RECALLING):
-        return _home(loan, AT_HOME, rows=0), []
-    return loan, []
+    if offload.rerunnable and offload.state in (GRANTED, RECALLING):
+        return _with_origin_state(offload, AT_ORIGIN, task_mask=0), []
+    return offload, []
 
 
-def force(loan: HomeLoan) -> Home:
-    """Take back work because an operator says that the remote cluster will never run or answer it.
+def force_end(offload: OriginOffload) -> OriginStep:
+    """Take back work because an operator states that the remote cluster will never run or report it.
 
-    The caller records who said so and why. If the operator is wrong, tasks may run twice.
+    The caller records the operator and the reason. If the operator is wrong, tasks may run twice.
     """
-    if loan.state in (GRANTED, RECALLING):
-        return _home(loan, AT_HOME, rows=0), []
-    return withdraw(loan)
+    if offload.state in (GRANTED, RECALLING):
+        return _with_origin_state(offload, AT_ORIGIN, task_mask=0), []
+    return withdraw(offload)
 
 
-def done_at_home(loan: HomeLoan, task: int) -> HomeLoan:
-    """Take in that a task that ran in the origin cluster is done."""
-    return _home(loan, loan.state, done=loan.done | 1 << task)
+def task_done_at_origin(offload: OriginOffload, task: int) -> OriginOffload:
+    """Record that a task that ran in the origin cluster is done."""
+    return _with_origin_state(offload, offload.state, done_mask=offload.done_mask | 1 << task)
 
 
-def home_hears(loan: HomeLoan, message: Message) -> Home:
-    """Take in a message of the remote cluster.
+def receive_at_origin(offload: OriginOffload, message: Message) -> OriginStep:
+    """Apply a message of the remote cluster.
 
-    The end of an earlier offload is confirmed, so that the remote cluster can forget it, and its result is
-    not taken; other messages about earlier offloads change nothing.
+    The end of an earlier offload is confirmed, so that the remote cluster can drop its record, but its result
+    is ignored. Other messages about earlier offloads change nothing.
     """
-    present = message.number == loan.number and loan.state in (OFFERED, GRANTED, RECALLING)
+    is_current = message.number == offload.number and offload.state in (OFFERED, GRANTED, RECALLING)
     if message.kind == ACCEPT:
-        if present and loan.state == OFFERED:
-            loan = _home(loan, GRANTED)
-        return loan, home_says(loan) if present else [Message(RECALL, message.number)]
+        if is_current and offload.state == OFFERED:
+            offload = _with_origin_state(offload, GRANTED)
+        return offload, origin_messages(offload) if is_current else [Message(RECALL, message.number)]
     if message.kind == REFUSE:
-        if present and loan.state == OFFERED:
-            loan = _home(loan, AT_HOME, rows=0)
-        return loan, []
-    if message.kind in (RESULT, OVER):
-        if present and loan.state != OFFERED:
-            loan = _home(loan, AT_HOME, done=loan.done | (message.done & loan.rows), rows=0)
-        return loan, [Message(CONFIRM, message.number)]
-    return loan, []
-
-
-def home_says(loan: HomeLoan) -> list[Message]:
+        if is_current and offload.state == OFFERED:
+            offload = _with_origin_state(offload, AT_ORIGIN, task_mask=0)
+        return offload, []
+    if message.kind in (RESULT, ENDED):
+        if is_current and offload.state != OFFERED:
+            offload = _with_origin_state(
+                offload,
+                AT_ORIGIN,
+                done_mask=offload.done_mask | (message.done_mask & offload.task_mask),
+                task_mask=0,
+            )
+        return offload, [Message(CONFIRM, message.number)]
+    return offload, []
+
+
+def origin_messages(offload: OriginOffload) -> list[Message]:
     """Return the messages that the record permits, which may be sent again at any time."""
-    if loan.state == OFFERED:
-        return [Message(OFFER, loan.number, loan.rows, repeats=loan.repeats)]
-    if loan.state == GRANTED:
-        return [Message(GRANT, loan.number, loan.rows, repeats=loan.repeats)]
-    if loan.state == RECALLING:
-        return [Message(RECALL, loan.number)]
+    if offload.state == OFFERED:
+        return [Message(OFFER, offload.number, offload.task_mask, rerunnable=offload.rerunnable)]
+    if offload.state == GRANTED:
+        return [Message(GRANT, offload.number, offload.task_mask, rerunnable=offload.rerunnable)]
+    if offload.state == RECALLING:
+        return [Message(RECALL, offload.number)]
     return []
 
 
 # -- the remote cluster --------------------------------------------------------------------------
 
 
-def guest_hears(loan: GuestLoan, message: Message, room: bool) -> Guest:
-    """Take in a message of the origin cluster; ``room`` tells whether an offer can be accepted now."""
+def receive_at_remote(offload: RemoteOffload, message: Message, has_capacity: bool) -> RemoteStep:
+    """Apply a message of the origin cluster; an offer is accepted only if ``has_capacity`` is set."""
     number = message.number
-    present = number == loan.number and loan.state != NONE
+    is_current = number == offload.number and offload.state != NO_OFFLOAD
     if message.kind == OFFER:
-        return (loan, guest_says(loan)) if present else _hear_new_offer(loan, message, room)
+        return (
+            (offload, remote_messages(offload))
+            if is_current
+            else _receive_new_offer(offload, message, has_capacity)
+        )
     if message.kind == GRANT:
-        if present and loan.state == RESERVED:
-            loan = _guest(loan, HOLDING)
-        # Without a reservation it can't be accepted any more, and never will be.
-        return loan, guest_says(loan) if present else [Message(OVER, number)]
+        if is_current and offload.state == RESERVED:
+            offload = _with_remote_state(offload, HOLDING)
+        # A grant without a reservation is refused: its offer can no longer be accepted.
+        return offload, remote_messages(offload) if is_current else [Message(ENDED, number)]
     if message.kind == RECALL:
-        if present and loan.state == RESERVED:
-            return _guest(loan, NONE), [Message(OVER, number)]
-        if present and loan.state == HOLDING:
-            loan = _guest(loan, STOPPING)
-        return loan, guest_says(loan) if present else [Message(OVER, number)]
+        if is_current and offload.state == RESERVED:
+            return _with_remote_state(offload, NO_OFFLOAD), [Message(ENDED, number)]
+        if is_current and offload.state == HOLDING:
+            offload = _with_remote_state(offload, STOPPING)
+        return offload, remote_messages(offload) if is_current else [Message(ENDED, number)]
     if message.kind == CONFIRM:
-        if present and loan.state in (GIVEN_BACK, FINISHED):
-            return _guest(loan, NONE), []
-        return loan, []
-    return loan, []
+        if is_current and offload.state in (RETURNED, FINISHED):
+            return _with_remote_state(offload, NO_OFFLOAD), []
+        return offload, []
+    return offload, []
 
 
-def _hear_new_offer(loan: GuestLoan, message: Message, room: bool) -> Guest:
-    """Accept an offer that is not the present one, or refuse it."""
+def _receive_new_offer(offload: RemoteOffload, message: Message, has_capacity: bool) -> RemoteStep:
+    """Accept or refuse an offer with a number other than that of the current offload."""
     number = message.number
-    if number <= loan.high or loan.state not in (NONE, RESERVED) or not room:
-        # Seen in the model: an offer that came again after its offload had ended, and the old grant after it.
-        return loan, [Message(REFUSE, number)]
-    new = _guest(
-        loan, RESERVED, number=number, rows=message.rows, done=0, high=number, repeats=message.repeats
+    if number <= offload.highest_number or offload.state not in (NO_OFFLOAD, RESERVED) or not has_capacity:
+        # Seen in the model: an offer was repeated after its offload had ended, and the old grant followed it.
+        return offload, [Message(REFUSE, number)]
+    changed = _with_remote_state(
+        offload,
+        RESERVED,
+        number=number,
+        task_mask=message.task_mask,
+        done_mask=0,
+        highest_number=number,
+        rerunnable=message.rerunnable,
     )
-    return new, guest_says(new)
+    return changed, remote_messages(changed)
 
 
-def reservation_over(loan: GuestLoan) -> GuestLoan:
-    """End a reservation, which lasts for a bounded time only."""
-    return _guest(loan, NONE) if loan.state == RESERVED else loan
+def expire_reservation(offload: RemoteOffload) -> RemoteOffload:
+    """End a reservation whose time has passed."""
+    return _with_remote_state(offload, NO_OFFLOAD) if offload.state == RESERVED else offload
 
 
-def give_back(loan: GuestLoan) -> GuestLoan:
-    """Stop in order, because own work needs the resources or the term is near its end."""
-    return _guest(loan, STOPPING) if loan.state == HOLDING else loan
+def begin_return(offload: RemoteOffload) -> RemoteOffload:
+    """Begin to stop the tasks, because own jobs need the resources or the term is near its end."""
+    return _with_remote_state(offload, STOPPING) if offload.state == HOLDING else offload
 
 
-def done_at_guest(loan: GuestLoan, task: int) -> Guest:
-    """Take in that an offloaded task is done; one that ends while it is being stopped counts as well."""
-    if loan.state not in (HOLDING, STOPPING):
-        return loan, []
-    done = loan.done | (1 << task & loan.rows)
-    new = _guest(loan, FINISHED if done == loan.rows else loan.state, done=done)
-    return new, guest_says(new)
+def task_done_at_remote(offload: RemoteOffload, task: int) -> RemoteStep:
+    """Record that an offloaded task is done, also if it ended while it was being stopped."""
+    if offload.state not in (HOLDING, STOPPING):
+        return offload, []
+    done_mask = offload.done_mask | (1 << task & offload.task_mask)
+    changed = _with_remote_state(
+        offload, FINISHED if done_mask == offload.task_mask else offload.state, done_mask=done_mask
+    )
+    return changed, remote_messages(changed)
 
 
-def stopped(loan: GuestLoan) -> Guest:
-    """Take in that nothing of it runs here any more, and that its checkpoints are saved."""
-    if loan.state != STOPPING:
-        return loan, []
-    new = _guest(loan, GIVEN_BACK)
-    return new, guest_says(new)
+def all_tasks_stopped(offload: RemoteOffload) -> RemoteStep:
+    """Record that no task of the offload runs here any more and that its checkpoints are saved."""
+    if offload.state != STOPPING:
+        return offload, []
+    changed = _with_remote_state(offload, RETURNED)
+    return changed, remote_messages(changed)
 
 
-def guest_says(loan: GuestLoan) -> list[Message]:
+def remote_messages(offload: RemoteOffload) -> list[Message]:
     """Return the messages that the record permits, which may be sent again at any time."""
-    if loan.state == RESERVED:
-        return [Message(ACCEPT, loan.number, loan.rows)]
-    if loan.state == GIVEN_BACK:
-        return [Message(OVER, loan.number, loan.rows, loan.done)]
-    if loan.state == FINISHED:
-        return [Message(RESULT, loan.number, loan.rows, loan.done)]
+    if offload.state == RESERVED:
+        return [Message(ACCEPT, offload.number, offload.task_mask)]
+    if offload.state == RETURNED:
+        return [Message(ENDED, offload.number, offload.task_mask, offload.done_mask)]
+    if offload.state == FINISHED:
+        return [Message(RESULT, offload.number, offload.task_mask, offload.done_mask)]
     return []
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -16,7 +16,7 @@
 
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import handoff
-from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
+from pearstep.federation.handoff import Message, OriginOffload, RemoteOffload
 from pearstep.federation.offload_selection import Grant, Lend
 from pearstep.federation.peer_health import Peer
 from pearstep.federation.terms import HomeTerm, Term
@@ -56,7 +56,7 @@
     ``forced`` says which operator ended an offload without the remote cluster, and why.
     """
 
-    loan: HomeLoan
+    loan: OriginOffload
     peer: str = ""
     need: Need = Need()
     returned: int = 0
@@ -69,7 +69,7 @@
 class GuestBook(msgspec.Struct, frozen=True):
     """A job's record as guest of a peer."""
 
-    loan: GuestLoan
+    loan: RemoteOffload
     need: Need = Need()
     # Time of day of the reservation, or at which the last renewal was asked for: the term counts from here.
     since_us: int = 0
@@ -148,9 +148,9 @@
     def _says(self) -> Iterator[tuple[str, str, str, list[Said]]]:
         """Yield what every record permits to be sent: kind, peer, job, messages."""
         for job, home in self._homes():
-            yield "l", home.peer, job, [self._said(job, m, home) for m in handoff.home_says(home.loan)]
+            yield "l", home.peer, job, [self._said(job, m, home) for m in handoff.origin_messages(home.loan)]
         for peer, job, guest in self._guests():
-            yield "g", peer, job, [Said(job, m) for m in handoff.guest_says(guest.loan)]
+            yield "g", peer, job, [Said(job, m) for m in handoff.remote_messages(guest.loan)]
 
     def record(self, key: str) -> HomeBook | GuestBook | None:
         """Return the record of a key, or None."""
@@ -175,7 +175,7 @@
         need: Need,
         lend: Lend,
         running: int,
-        repeats: bool,
+        rerunnable: bool,
         spec: JobSpec | None = None,
         term_us: int = 0,
     ) -> Entry | None:
@@ -187,24 +187,24 @@
             need: What one task takes.
             lend: The peer, and how many tasks to offer.
             running: The mask of tasks that run here.
-            repeats: Whether the tasks may run twice.
+            rerunnable: Whether the tasks may run twice.
             spec: The job as it was accepted.
             term_us: The term of work that may run twice.
 
         Returns:
             The entry to write, or None if nothing can be offered.
         """
-        book = self.home.get(job) or HomeBook(HomeLoan(tasks, repeats=repeats))
+        book = self.home.get(job) or HomeBook(OriginOffload(tasks, rerunnable=rerunnable))
         waiting = book.loan.startable & ~running
-        rows = 0
+        task_mask = 0
         for task in range(tasks):
-            if waiting >> task & 1 and rows.bit_count() < lend.rows:
-                rows |= 1 << task
+            if waiting >> task & 1 and task_mask.bit_count() < lend.rows:
+                task_mask |= 1 << task
         self.count += 1
         if self.count >= PER_STAMP:
             return None
         number = self.stamp * PER_STAMP + self.count
-        loan, said = handoff.offer(book.loan, number, rows, running)
+        loan, said = handoff.offer(book.loan, number, task_mask, running)
         if loan == book.loan:
             return None
         after = msgspec.structs.replace(
@@ -212,14 +212,14 @@
         )
         return self._home_entry(job, after, said)
 
-    def act(self, job: str, change: tuple[HomeLoan, list[Message]]) -> Entry | None:
+    def act(self, job: str, change: tuple[OriginOffload, list[Message]]) -> Entry | None:
         """Return the entry of a change that the origin cluster makes by itself, such as a recall."""
         book = self.home.get(job)
         if book is None or change[0] == book.loan:
             return None
         return self._home_entry(job, msgspec.structs.replace(book, loan=change[0]), change[1])
 
-    def act_as_guest(self, peer: str, job: str, change: tuple[GuestLoan, list[Message]]) -> Entry | None:
+    def act_as_guest(self, peer: str, job: str, change: tuple[RemoteOffload, list[Message]]) -> Entry | None:
         """Return the entry of a change that the remote cluster makes by itself, such as a finished task."""
         book = self.guest.get((peer, job))
         if book is None or change[0] == book.loan:
@@ -244,30 +244,30 @@
         if kind == handoff.RENEWED:
             return self._renewed(peer, said)
         if kind in (handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM):
-            guest = self.guest.get((peer, said.ref)) or GuestBook(GuestLoan())
+            guest = self.guest.get((peer, said.ref)) or GuestBook(RemoteOffload())
             fits = kind != handoff.OFFER or (self._room(peer, said, free) and self._usable(said))
-            loan, answers = handoff.guest_hears(guest.loan, said.message, fits)
+            loan, answers = handoff.receive_at_remote(guest.loan, said.message, fits)
             out = [Said(said.ref, m) for m in answers]
             if loan == guest.loan:
                 return out
             after = msgspec.structs.replace(guest, loan=loan)
             if loan.state == handoff.RESERVED and guest.loan.number != loan.number:
                 after = GuestBook(loan, said.need, wall_us, said.spec, said.term_us)
-            if loan.state == handoff.NONE:
+            if loan.state == handoff.NO_OFFLOAD:
                 after = GuestBook(loan)  # only the number must be remembered
             return self._guest_entry(peer, said.ref, after, answers)
-        book = self.home.get(said.ref) or HomeBook(HomeLoan(0, state=handoff.SETTLED))
+        book = self.home.get(said.ref) or HomeBook(OriginOffload(0, state=handoff.SETTLED))
         if book.peer and book.peer != peer:
             # This peer no longer has the job, so its offload has ended. Its number is never the present one,
             # so that the answer is the same as for any earlier offload.
-            old = msgspec.structs.replace(book.loan, state=handoff.AT_HOME, number=0)
-            _, answers = handoff.home_hears(old, said.message)
+            old = msgspec.structs.replace(book.loan, state=handoff.AT_ORIGIN, number=0)
+            _, answers = handoff.receive_at_origin(old, said.message)
             return [Said(said.ref, m) for m in answers]
         before = book.loan
-        home, answers = handoff.home_hears(before, said.message)
+        home, answers = handoff.receive_at_origin(before, said.message)
         if home == before or said.ref not in self.home:
             return [self._said(said.ref, m, book) for m in answers]
-        came_back = before.state in (handoff.GRANTED, handoff.RECALLING) and home.state == handoff.AT_HOME
+        came_back = before.state in (handoff.GRANTED, handoff.RECALLING) and home.state == handoff.AT_ORIGIN
         since = (
             wall_us if home.state == handoff.GRANTED and before.state == handoff.OFFERED else book.since_us
         )
@@ -286,7 +286,7 @@
 
         Work that may run twice needs a term that is longer than what we need to stop it.
         """
-        if not said.message.repeats:
+        if not said.message.rerunnable:
             return True
         save_us = said.spec.save_us if said.spec is not None else 0
         return Term(said.term_us, self.lease_us, save_us, self.margin_us).usable
@@ -299,7 +299,7 @@
     def over(self, book: HomeBook, wall_us: int) -> bool:
         """Tell whether the remote cluster has certainly stopped: its term began no later than ours."""
         term = self.term(book)
-        running = book.loan.state in (handoff.GRANTED, handoff.RECALLING) and book.loan.repeats
+        running = book.loan.state in (handoff.GRANTED, handoff.RECALLING) and book.loan.rerunnable
         return running and term is not None and HomeTerm(term, book.since_us).over(wall_us)
 
     def renewal(self, peer: str, ref: str, wall_us: int) -> Said | None:
@@ -318,7 +318,7 @@
         if book is None or book.peer != peer or book.loan.number != said.message.number:
             return []
         if book.loan.state != handoff.GRANTED:
-            return [self._said(said.ref, m, book) for m in handoff.home_says(book.loan)]
+            return [self._said(said.ref, m, book) for m in handoff.origin_messages(book.loan)]
         after = msgspec.structs.replace(book, since_us=max(book.since_us, wall_us))
         entry = self._home_entry(said.ref, after, [])
         entry.says = [Said(said.ref, Message(handoff.RENEWED, book.loan.number), at_us=said.at_us)]
@@ -339,7 +339,7 @@
         if grant is None:
             return False
         used = self.used(peer)
-        count = said.message.rows.bit_count()
+        count = said.message.task_mask.bit_count()
         need = (said.need.cpus * count, said.need.gpus * count, said.need.memory_gb * count)
         reserved = self.reserved()
         granted = (grant.cpus, grant.gpus, grant.memory_gb)
@@ -425,7 +425,7 @@
         out = []
         for peer, job, book in self._guests():
             if book.loan.state == handoff.RESERVED and wall_us - book.since_us >= self.reserve_us:
-                entry = self.act_as_guest(peer, job, (handoff.reservation_over(book.loan), []))
+                entry = self.act_as_guest(peer, job, (handoff.expire_reservation(book.loan), []))
                 if entry is not None:
                     out.append(entry)
         return out
@@ -437,7 +437,7 @@
 def _sum(books: Iterable[GuestBook]) -> tuple[float, float, float]:
     cpus = gpus = memory = 0.0
     for book in books:
-        count = (book.loan.rows & ~book.loan.done).bit_count()
+        count = (book.loan.task_mask & ~book.loan.done_mask).bit_count()
         cpus += book.need.cpus * count
         gpus += book.need.gpus * count
         memory += book.need.memory_gb * count
--- a/pearstep/federation/offload_records.py
+++ b/pearstep/federation/offload_records.py
@@ -51,9 +51,9 @@
 
     These are the offloaded tasks, and all tasks once a cancellation waits for the answer of a peer.
     """
-    if book.loan.cancel and not job.is_final:
+    if book.loan.cancel_requested and not job.is_final:
         return job.spec.all_tasks
-    return book.loan.rows if book.loan.state in OPEN_HOME else 0
+    return book.loan.task_mask if book.loan.state in OPEN_HOME else 0
 
 
 class Loans:
@@ -95,7 +95,7 @@
         if book is None:
             job.offloaded_tasks = 0
             return
-        job.done_tasks |= book.loan.done
+        job.done_tasks |= book.loan.done_mask
         job.offloaded_tasks = lent_mask(job, book)
 
     def _put_guest(self, rest: str, stamp: int, raw: bytes | None) -> None:
@@ -105,7 +105,7 @@
             self.open_guest.discard((peer, ref))
         else:
             book = self.guest[peer, ref] = _guest.decode(raw)
-            if book.loan.state == handoff.NONE:
+            if book.loan.state == handoff.NO_OFFLOAD:
                 self.open_guest.discard((peer, ref))
             else:
                 self.open_guest.add((peer, ref))
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -70,11 +70,11 @@
         "peer": book.peer,
         "state": loan.state,
         "number": loan.number,
-        "tasks": format_task_ranges(loan.rows),
-        "done": format_task_ranges(loan.done),
+        "tasks": format_task_ranges(loan.task_mask),
+        "done": format_task_ranges(loan.done_mask),
         "returned": book.returned,
-        "cancel": loan.cancel,
-        "answer": loan.answer,
+        "cancel": loan.cancel_requested,
+        "answer": loan.final_state,
         "forced": book.forced,
     }
 
@@ -116,8 +116,8 @@
                 "peer": peer_name,
                 "state": loan.state,
                 "number": loan.number,
-                "tasks": format_task_ranges(loan.rows),
-                "done": format_task_ranges(loan.done),
+                "tasks": format_task_ranges(loan.task_mask),
+                "done": format_task_ranges(loan.done_mask),
             }
         )
     return 200, msgspec.json.encode({**known, "leads": desk is not None, "peers": peers, "loans": rows}), {}
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -200,7 +200,7 @@
             rec = self.loans.peers.get(book.peer)
             since = self._offered.setdefault(ref, now) if book.loan.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
-                entry = desk.books.act(ref, handoff.force(book.loan))
+                entry = desk.books.act(ref, handoff.force_end(book.loan))
                 if entry is not None:
                     why = rec.forgotten if rec is not None else "the peer was removed"
                     entry.after = msgspec.structs.replace(entry.after, forced=why)
@@ -208,7 +208,7 @@
                     await desk.do(entry)
             elif desk.books.over(book, wall_us()):
                 log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.do(desk.books.act(ref, handoff.term_over(book.loan)))
+                await desk.do(desk.books.act(ref, handoff.take_back_after_term(book.loan)))
             elif book.loan.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
@@ -237,7 +237,7 @@
             ):
                 await self._ended(desk, peer, ref, book, job)
             elif book.loan.state == handoff.STOPPING and job is None:
-                await desk.do(desk.books.act_as_guest(peer, ref, handoff.stopped(book.loan)))
+                await desk.do(desk.books.act_as_guest(peer, ref, handoff.all_tasks_stopped(book.loan)))
             if book.term_us and book.loan.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
         for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
@@ -251,7 +251,9 @@
 
     async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.books.act_as_guest(peer, ref, (handoff.give_back(self.loans.guest[peer, ref].loan), []))
+        entry = desk.books.act_as_guest(
+            peer, ref, (handoff.begin_return(self.loans.guest[peer, ref].loan), [])
+        )
         if entry is not None:
             entry.orderly = True
             await desk.do(entry)
@@ -295,14 +297,14 @@
         loan, says = book.loan, list[handoff.Message]()
         if loan.state == handoff.HOLDING and job.state != JobState.DONE:
             # Somebody here has cancelled it.
-            await desk.do(desk.books.act_as_guest(peer, ref, (handoff.give_back(loan), [])))
+            await desk.do(desk.books.act_as_guest(peer, ref, (handoff.begin_return(loan), [])))
             return
-        done = loan.rows if job.state == JobState.DONE else job.done_tasks & loan.rows
+        done = loan.task_mask if job.state == JobState.DONE else job.done_tasks & loan.task_mask
         for task in range(job.spec.tasks):
             if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
-                loan, says = handoff.done_at_guest(loan, task)
+                loan, says = handoff.task_done_at_remote(loan, task)
         if loan.state == handoff.STOPPING:
-            loan, says = handoff.stopped(loan)
+            loan, says = handoff.all_tasks_stopped(loan)
         await desk.do(desk.books.act_as_guest(peer, ref, (loan, says)))
 
     # -- lending ---------------------------------------------------------------------------------
@@ -431,7 +433,7 @@
         book = self.loans.home.get(ref)
         if book is None or book.loan.state not in (handoff.GRANTED, handoff.RECALLING):
             return {key: self.view.version_of(key)}
-        if not book.loan.cancel:
+        if not book.loan.cancel_requested:
             after = msgspec.structs.replace(book, loan=handoff.cancel(book.loan)[0])
             outcome = await self.node.kv.commit(
                 {key: self.view.version_of(key), f"j/{ref}": job.version},
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -68,7 +68,7 @@
     return JobRecord(
         spec,
         wall_us,
-        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.loan.rows),
+        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.loan.task_mask),
         run_until_us=until_us,
     )
 
@@ -81,7 +81,7 @@
         return None
     key = entry.key
     loan = entry.after.loan
-    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else handoff.AT_HOME
+    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else handoff.AT_ORIGIN
     puts: dict[str, Any] = {key: entry.after}
     conditions = {key: view.version_of(key)}
     if loan.state in (handoff.OFFERED, handoff.GRANTED) and loan.state != before:
@@ -90,9 +90,9 @@
             return None
         conditions[f"j/{ref}"] = job.version
     if loan.state == handoff.OFFERED and before != handoff.OFFERED:
-        if loan.rows & (job.placed_tasks | job.done_tasks) or job.spans_shards:
+        if loan.task_mask & (job.placed_tasks | job.done_tasks) or job.spans_shards:
             return None
-        route_puts, route_conditions = _unroute(job, loan.rows)
+        route_puts, route_conditions = _unroute(job, loan.task_mask)
         puts |= route_puts
         conditions |= route_conditions
     if job.state == JobState.QUEUED and loan.state not in OPEN_HOME:
@@ -112,11 +112,11 @@
     return routing.writes()
 
 
-def _final_state(job: Job, loan: handoff.HomeLoan) -> JobState | None:
+def _final_state(job: Job, loan: handoff.OriginOffload) -> JobState | None:
     """Return the final state of a job whose offload has ended; None if the job goes on."""
-    if (job.done_tasks | loan.done) == job.spec.all_tasks and job.spec.kind != "service":
+    if (job.done_tasks | loan.done_mask) == job.spec.all_tasks and job.spec.kind != "service":
         return JobState.DONE
-    return JobState.CANCELLED if loan.answer == "cancelled" else None
+    return JobState.CANCELLED if loan.final_state == "cancelled" else None
 
 
 def guest_writes(
@@ -130,7 +130,7 @@
     loan = entry.after.loan
     puts: dict[str, Any] = {entry.key: entry.after}
     conditions = {entry.key: view.version_of(entry.key)}
-    if loan.state in (handoff.STOPPING, handoff.GIVEN_BACK):
+    if loan.state in (handoff.STOPPING, handoff.RETURNED):
         # From here on nothing of it starts: the job is cancelled in the same transaction, or can't be
         # created. If it is returned without being asked for, the shard owners stop it with time for a
         # checkpoint, as at the end of a term, and it is cancelled once nothing of it runs.
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -69,15 +69,17 @@
     for (peer, job), book in list(side.books.guest.items()):
         for task in range(2):
             if book.loan.startable >> task & 1:
-                entry = side.books.act_as_guest(peer, job, handoff.done_at_guest(book.loan, task))
+                entry = side.books.act_as_guest(peer, job, handoff.task_done_at_remote(book.loan, task))
                 side.write(entry, now, fails)
                 book = side.books.guest[peer, job]
         if book.loan.state == handoff.STOPPING:
-            side.write(side.books.act_as_guest(peer, job, handoff.stopped(book.loan)), now, fails)
+            side.write(side.books.act_as_guest(peer, job, handoff.all_tasks_stopped(book.loan)), now, fails)
     for job, home in list(side.books.home.items()):
         for task in range(2):
-            if home.loan.startable >> task & 1 and home.loan.state == handoff.AT_HOME:
-                side.write(side.books.act(job, (handoff.done_at_home(home.loan, task), [])), now, fails)
+            if home.loan.startable >> task & 1 and home.loan.state == handoff.AT_ORIGIN:
+                side.write(
+                    side.books.act(job, (handoff.task_done_at_origin(home.loan, task), [])), now, fails
+                )
                 home = side.books.home[job]
 
 
@@ -118,8 +120,8 @@
     b.books.back("a")
     play(a, b, rng, 120, 0.0, 0.0)
     for side in (a, b):
-        assert all(book.loan.answer for book in side.books.home.values())
-        assert all(book.loan.state == handoff.NONE for book in side.books.guest.values())
+        assert all(book.loan.final_state for book in side.books.home.values())
+        assert all(book.loan.state == handoff.NO_OFFLOAD for book in side.books.guest.values())
 
 
 def test_no_more_is_taken_than_the_grant_and_what_is_free():
@@ -129,12 +131,12 @@
     play(a, b, rng, 4, 0.0, 0.0, works=False)
     assert b.books.used("a") == (20.0, 0.0, 10.0)
     states = [book.loan.state for book in a.books.home.values()]
-    assert states.count(handoff.GRANTED) == 10 and states.count(handoff.AT_HOME) == 20
+    assert states.count(handoff.GRANTED) == 10 and states.count(handoff.AT_ORIGIN) == 20
     c, d, rng = clusters(2)
     d.books.grants = {}
     lend(c, "req-1", 0)
     play(c, d, rng, 4, 0.0, 0.0, works=False)
-    assert c.books.home["req-1"].loan.state == handoff.AT_HOME and not d.books.guest.get(("c", "req-1"))
+    assert c.books.home["req-1"].loan.state == handoff.AT_ORIGIN and not d.books.guest.get(("c", "req-1"))
 
 
 def test_what_is_not_answered_is_said_again_ever_more_rarely():
@@ -163,7 +165,7 @@
     b.hear(a.out.pop(), 32 * S, 0.0)
     a.hear(b.out.pop(), 33 * S, 0.0)
     book = a.books.home["req-1"]
-    assert (book.loan.state, book.returned) == (handoff.AT_HOME, 1)
+    assert (book.loan.state, book.returned) == (handoff.AT_ORIGIN, 1)
 
 
 def test_numbers_grow_over_leaderships_and_a_former_guest_is_told_the_loan_is_over():
@@ -180,4 +182,4 @@
     said = a.books.hear("b", b.out.pop(), FREE, 4)
     assert [s.message.kind for s in said] == [handoff.RECALL] and a.books.home["req-1"].peer == "c"
     b.hear(said[0], 5, 0.0)
-    assert b.books.guest["a", "req-1"].loan.state == handoff.NONE
+    assert b.books.guest["a", "req-1"].loan.state == handoff.NO_OFFLOAD
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -10,7 +10,7 @@
 from pearstep.archive.records import Append, Chunk, Key, Seal
 from pearstep.federation import handoff
 from pearstep.federation.carrying import LINGER_US, Carrying
-from pearstep.federation.handoff import HomeLoan
+from pearstep.federation.handoff import OriginOffload
 from pearstep.federation.ledger import HomeBook, Need
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import Loans
@@ -73,8 +73,8 @@
 
 
 def lend(home, state, **more):
-    rows = 0 if state == handoff.AT_HOME else 0b11
-    loan = HomeLoan(2, state=state, number=NUMBER, rows=rows, **more)
+    task_mask = 0 if state == handoff.AT_ORIGIN else 0b11
+    loan = OriginOffload(2, state=state, number=NUMBER, task_mask=task_mask, **more)
     home.put("l/req-1", HomeBook(loan, "nyarugenge", Need()))
 
 
@@ -128,7 +128,7 @@
         (folder / "maps").mkdir(parents=True)
         (folder / "maps" / "a.tif").write_bytes(b"tile" * 600_000)
         assert await there.site.client.publish(key, "t", folder, ["maps/a.tif"]) == ""
-        lend(home, handoff.AT_HOME, done=0b11)
+        lend(home, handoff.AT_ORIGIN, done_mask=0b11)
         await home.carrying.step()
         (found,) = await home.site.client.attempts("req-1")
         assert (found["state"], found["cause"], found["whole"]) == ("sealed", "done", True)
@@ -152,7 +152,7 @@
     async def scenario(home, there, tmp_path):
         await there.carrying.fetch_description("huye", "req-1", LOCAL)
         await write(there, Key(LOCAL, 1, 2, "i-2", 1), b"all of it", end=True, cause="error")
-        lend(home, handoff.AT_HOME, done=0)
+        lend(home, handoff.AT_ORIGIN, done_mask=0)
         home.carrying._watched["req-1", NUMBER] = "nyarugenge"
         addrs = home.link.peers["nyarugenge"]
         home.link.peers["nyarugenge"] = [free_addr()]
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from pearstep.federation import handoff, peer_health
-from pearstep.federation.handoff import GuestLoan, HomeLoan
+from pearstep.federation.handoff import OriginOffload, RemoteOffload
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 from pearstep.federation.peer_health import Patience, Peer
 from pearstep.federation.terms import GuestTerm, HomeTerm, Term
@@ -25,8 +25,8 @@
 
     @initialize()
     def begin(self):
-        self.jobs = {(h, j): HomeLoan(2) for h in NAMES for j in range(3)}
-        self.guest = {(h, j, g): GuestLoan() for h in NAMES for j in range(3) for g in NAMES if g != h}
+        self.jobs = {(h, j): OriginOffload(2) for h in NAMES for j in range(3)}
+        self.guest = {(h, j, g): RemoteOffload() for h in NAMES for j in range(3) for g in NAMES if g != h}
         self.where = {}  # the guest of a job's present loan
         self.runs = {}  # (home, job, task) -> cluster
         self.mail = []
@@ -38,11 +38,11 @@
     def put_home(self, key, pair):
         before = self.jobs[key]
         self.jobs[key] = pair[0]
-        if pair[0].answer and not before.answer:
+        if pair[0].final_state and not before.final_state:
             assert key not in self.answers
-            self.answers[key] = pair[0].answer
-        if before.answer:
-            assert pair[0].answer == before.answer
+            self.answers[key] = pair[0].final_state
+        if before.final_state:
+            assert pair[0].final_state == before.final_state
         if key in self.where:
             self.mail += [(key, self.where[key], m, "guest") for m in pair[1]]
 
@@ -52,7 +52,7 @@
 
     @rule(key=jobs_, to=st.sampled_from(NAMES), rows=st.integers(1, 3))
     def offer(self, key, to, rows):
-        if to == key[0] or self.jobs[key].state != handoff.AT_HOME:
+        if to == key[0] or self.jobs[key].state != handoff.AT_ORIGIN:
             return
         self.number += 1
         running = sum(1 << t for h, j, t in self.runs if (h, j) == key)
@@ -85,14 +85,14 @@
         del self.runs[run]
         if cluster == key[0]:
             if done:
-                self.put_home(key, (handoff.done_at_home(self.jobs[key], task), []))
+                self.put_home(key, (handoff.task_done_at_origin(self.jobs[key], task), []))
         elif done:
-            self.put_guest((*key, cluster), handoff.done_at_guest(self.guest[(*key, cluster)], task))
+            self.put_guest((*key, cluster), handoff.task_done_at_remote(self.guest[(*key, cluster)], task))
 
     def start(self, run, cluster):
         # Never two clusters with the same task, never one that is done or cancelled.
         assert run not in self.runs and run[:2] not in self.answers
-        assert not self.jobs[run[:2]].done >> run[2] & 1
+        assert not self.jobs[run[:2]].done_mask >> run[2] & 1
         self.runs[run] = cluster
 
     @rule(key=jobs_, guest=st.sampled_from(NAMES), what=st.sampled_from(["over", "back", "stopped"]))
@@ -101,11 +101,11 @@
             return
         at = (*key, guest)
         if what == "over":
-            self.guest[at] = handoff.reservation_over(self.guest[at])
+            self.guest[at] = handoff.expire_reservation(self.guest[at])
         elif what == "back":
-            self.guest[at] = handoff.give_back(self.guest[at])
+            self.guest[at] = handoff.begin_return(self.guest[at])
         elif not any((h, j) == key and c == guest for (h, j, _), c in self.runs.items()):
-            self.put_guest(at, handoff.stopped(self.guest[at]))
+            self.put_guest(at, handoff.all_tasks_stopped(self.guest[at]))
 
     @rule(data=st.data(), again=st.booleans(), room=st.booleans())
     def deliver(self, data, again, room):
@@ -115,10 +115,10 @@
         key, peer, message, to = self.mail[i] if again else self.mail.pop(i)
         if to == "guest":
             at = (*key, peer)
-            self.put_guest(at, handoff.guest_hears(self.guest[at], message, room))
+            self.put_guest(at, handoff.receive_at_remote(self.guest[at], message, room))
         else:
             # What a former guest still says goes to the same record; the answer goes back to it.
-            loan, said = handoff.home_hears(self.jobs[key], message)
+            loan, said = handoff.receive_at_origin(self.jobs[key], message)
             present = self.where.get(key)
             self.where[key] = peer
             self.put_home(key, (loan, said))
@@ -129,9 +129,9 @@
         """Every message is lost, and both sides say again what their records permit."""
         self.mail = []
         for key, loan in self.jobs.items():
-            self.put_home(key, (loan, handoff.home_says(loan)))
+            self.put_home(key, (loan, handoff.origin_messages(loan)))
         for key, loan in self.guest.items():
-            self.put_guest(key, (loan, handoff.guest_says(loan)))
+            self.put_guest(key, (loan, handoff.remote_messages(loan)))
 
     @invariant()
     def holds(self):
@@ -140,7 +140,7 @@
         for key, answer in self.answers.items():
             running = [run for run in self.runs if run[:2] == key]
             assert not running, (answer, running)
-            assert answer != "done" or self.jobs[key].done == self.jobs[key].all
+            assert answer != "done" or self.jobs[key].done_mask == self.jobs[key].all_tasks
 
     def teardown(self):
         """With a link that holds, everything comes to its end."""
@@ -153,9 +153,11 @@
                     break
                 key, peer, message, to = self.mail.pop(0)
                 if to == "guest":
-                    self.put_guest((*key, peer), handoff.guest_hears(self.guest[(*key, peer)], message, True))
+                    self.put_guest(
+                        (*key, peer), handoff.receive_at_remote(self.guest[(*key, peer)], message, True)
+                    )
                 else:
-                    loan, said = handoff.home_hears(self.jobs[key], message)
+                    loan, said = handoff.receive_at_origin(self.jobs[key], message)
                     present = self.where.get(key, peer)
                     self.where[key] = peer
                     self.put_home(key, (loan, said))
@@ -165,9 +167,9 @@
                     self.turn(key, task, True)
                 for g in NAMES:
                     if g != key[0] and not any(r[:2] == key and c == g for r, c in self.runs.items()):
-                        self.put_guest((*key, g), handoff.stopped(self.guest[(*key, g)]))
-        assert all(loan.answer for loan in self.jobs.values())
-        assert all(loan.state == handoff.NONE for loan in self.guest.values())
+                        self.put_guest((*key, g), handoff.all_tasks_stopped(self.guest[(*key, g)]))
+        assert all(loan.final_state for loan in self.jobs.values())
+        assert all(loan.state == handoff.NO_OFFLOAD for loan in self.guest.values())
 
 
 ThreeClusters.TestCase.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -24,8 +24,8 @@
 # fmt: off
 ENVELOPES = {
     "envelope_all": (Envelope, dict(version=1, site="south", items=[dict(ref="req-000412",
-        message=dict(kind="offer", number=4_294_967_297, rows=10, done=2, repeats=True, version=3),
-        need=dict(cpus=8.0, gpus=1.5, memory_gb=64.25), spec=SPEC, term_us=60_000_000,
+        message=dict(kind="offer", number=4_294_967_297, task_mask=10, done_mask=2, rerunnable=True,
+        version=3), need=dict(cpus=8.0, gpus=1.5, memory_gb=64.25), spec=SPEC, term_us=60_000_000,
         at_us=1_700_000_000_000_001)], whole=True, offer=dict(cpus=32.0, gpus=2.0, memory_gb=128.5,
         start_us=5_000_000, price=1.5))),
     "envelope_defaults": (Envelope, dict(version=1, site="south", items=[], whole=False, offer=None)),
@@ -70,7 +70,7 @@
         handoff.REFUSE,
         handoff.GRANT,
         handoff.RECALL,
-        handoff.OVER,
+        handoff.ENDED,
         handoff.RESULT,
         handoff.CONFIRM,
         handoff.RENEW,
@@ -97,7 +97,7 @@
 
 def test_a_borrowed_job_is_recorded_as_it_was():
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
-    loan = handoff.GuestLoan(handoff.HOLDING, 4_294_967_297, 0b01)
+    loan = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
     book = GuestBook(loan, Need(), 0, spec)
     record = writes.borrowed_rec("south", "req-7", book, 1_700_000_000_000_001, 1_700_000_060_000_000)
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
--- a/tests/test_handoff_model.py
+++ b/tests/test_handoff_model.py
@@ -8,12 +8,12 @@
 import pytest
 
 from pearstep.federation import handoff
-from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
+from pearstep.federation.handoff import Message, OriginOffload, RemoteOffload
 
 
 class World(msgspec.Struct, frozen=True):
-    home: HomeLoan
-    guest: GuestLoan = GuestLoan()
+    home: OriginOffload
+    guest: RemoteOffload = RemoteOffload()
     sent: frozenset = frozenset()
     at_home: int = 0  # tasks that run there, as bits
     at_guest: int = 0
@@ -26,8 +26,8 @@
 class Guards:
     """The machines; a broken variant replaces one of them."""
 
-    guest_hears = staticmethod(handoff.guest_hears)
-    home_hears = staticmethod(handoff.home_hears)
+    guest_hears = staticmethod(handoff.receive_at_remote)
+    home_hears = staticmethod(handoff.receive_at_origin)
     recall = staticmethod(handoff.recall)
     cancel = staticmethod(handoff.cancel)
     guest_startable = staticmethod(lambda loan: loan.startable)
@@ -39,9 +39,9 @@
 
     def with_home(pair, **more):
         loan, said = pair
-        answers = w.answers + ((loan.answer,) if loan.answer and not w.home.answer else ())
-        if w.home.answer and loan.answer != w.home.answer:
-            answers += (loan.answer,)
+        answers = w.answers + ((loan.final_state,) if loan.final_state and not w.home.final_state else ())
+        if w.home.final_state and loan.final_state != w.home.final_state:
+            answers += (loan.final_state,)
         return msgspec.structs.replace(w, home=loan, sent=w.sent | set(said), answers=answers, **more)
 
     def with_guest(pair, **more):
@@ -56,7 +56,7 @@
         else:
             yield with_home(g.home_hears(home, m))
     yield msgspec.structs.replace(
-        w, sent=w.sent | set(handoff.home_says(home)) | set(handoff.guest_says(guest))
+        w, sent=w.sent | set(handoff.origin_messages(home)) | set(handoff.remote_messages(guest))
     )
     if home.number < w.loans:
         for rows in (0b11, 0b10):
@@ -71,28 +71,28 @@
         if home.startable & bit and not w.at_home & bit:
             yield msgspec.structs.replace(w, at_home=w.at_home | bit)
         if w.at_home & bit:
-            yield with_home((handoff.done_at_home(home, task), []), at_home=w.at_home & ~bit)
+            yield with_home((handoff.task_done_at_origin(home, task), []), at_home=w.at_home & ~bit)
             yield msgspec.structs.replace(w, at_home=w.at_home & ~bit)
         if g.guest_startable(guest) & bit and not w.at_guest & bit:
             yield msgspec.structs.replace(w, at_guest=w.at_guest | bit)
         if w.at_guest & bit:
-            yield with_guest(handoff.done_at_guest(guest, task), at_guest=w.at_guest & ~bit)
+            yield with_guest(handoff.task_done_at_remote(guest, task), at_guest=w.at_guest & ~bit)
             yield msgspec.structs.replace(w, at_guest=w.at_guest & ~bit)
-    yield with_guest((handoff.reservation_over(guest), []))
-    yield with_guest((handoff.give_back(guest), []))
+    yield with_guest((handoff.expire_reservation(guest), []))
+    yield with_guest((handoff.begin_return(guest), []))
     if not w.at_guest:
-        yield with_guest(handoff.stopped(guest))
-    if home.repeats:
+        yield with_guest(handoff.all_tasks_stopped(guest))
+    if home.rerunnable:
         # The guest's clock ends its loan and all that runs; only after that home's clock can (``terms``).
         if guest.state in (handoff.HOLDING, handoff.STOPPING) and guest.number > w.ended:
-            loan = handoff.give_back(guest)
+            loan = handoff.begin_return(guest)
             yield msgspec.structs.replace(w, guest=loan, at_guest=0, ended=guest.number)
         if not g.term_needs_guest or (
             w.ended >= home.number
             or guest.number != home.number
-            or guest.state in (handoff.NONE, handoff.GIVEN_BACK, handoff.FINISHED)
+            or guest.state in (handoff.NO_OFFLOAD, handoff.RETURNED, handoff.FINISHED)
         ):
-            yield with_home(handoff.term_over(home), ended=max(w.ended, home.number))
+            yield with_home(handoff.take_back_after_term(home), ended=max(w.ended, home.number))
 
 
 def wrong(w):
@@ -101,11 +101,11 @@
         return "a task runs in both clusters"
     if len(w.answers) > 1:
         return f"two final answers {w.answers}"
-    if w.home.answer == "done" and w.home.done != w.home.all:
+    if w.home.final_state == "done" and w.home.done_mask != w.home.all_tasks:
         return "done before all tasks are"
-    if w.home.answer == "cancelled" and w.at_guest:
+    if w.home.final_state == "cancelled" and w.at_guest:
         return "cancelled while it runs"
-    if w.at_home & w.home.done and not w.home.repeats:
+    if w.at_home & w.home.done_mask and not w.home.rerunnable:
         return "a task that is done runs again"
     return ""
 
@@ -117,7 +117,7 @@
     while todo:
         w = todo.pop()
         for after in steps(w, guards):
-            if guards.term_needs_guest and after.home.repeats and after.ended >= after.guest.number:
+            if guards.term_needs_guest and after.home.rerunnable and after.ended >= after.guest.number:
                 # By its own clock the guest starts nothing of a loan whose term is over.
                 if after.at_guest & ~w.at_guest:
                     continue
@@ -134,14 +134,16 @@
 
 
 # The whole walk with a term (two tasks, two loans) has 811,774 states and took 67 s: it passes, outside CI.
-@pytest.mark.parametrize("tasks,loans,repeats", [(2, 2, False), (2, 1, True), (1, 2, True)])
-def test_no_walk_breaks_a_rule_and_from_everywhere_an_end_can_be_reached(tasks, loans, repeats, capsys):
-    start = World(HomeLoan(tasks, repeats=repeats), loans=loans)
+@pytest.mark.parametrize("tasks,loans,rerunnable", [(2, 2, False), (2, 1, True), (1, 2, True)])
+def test_no_walk_breaks_a_rule_and_from_everywhere_an_end_can_be_reached(tasks, loans, rerunnable, capsys):
+    start = World(OriginOffload(tasks, rerunnable=rerunnable), loans=loans)
     seen, why = walk(start, Guards)
     assert not why
     # A fair end: the answer is final, the guest has nothing left, nothing runs.
     ends = [
-        w for w in seen if w.home.answer and w.guest.state == handoff.NONE and not (w.at_home | w.at_guest)
+        w
+        for w in seen
+        if w.home.final_state and w.guest.state == handoff.NO_OFFLOAD and not (w.at_home | w.at_guest)
     ]
     reach = set(ends)
     todo = list(ends)
@@ -152,11 +154,11 @@
                 todo.append(before)
     stuck = [w for w in seen if w not in reach]
     assert not stuck, stuck[0]
-    assert {w.home.state for w in seen} == set(handoff.HOME.transitions) and {
+    assert {w.home.state for w in seen} == set(handoff.ORIGIN_STATES.transitions) and {
         w.guest.state for w in seen
-    } == set(handoff.GUEST.transitions)
+    } == set(handoff.REMOTE_STATES.transitions)
     with capsys.disabled():
-        print(f" [handoff, {tasks} tasks, {loans} loans, repeats={repeats}: {len(seen)} states]", end="")
+        print(f" [handoff, {tasks} tasks, {loans} loans, repeats={rerunnable}: {len(seen)} states]", end="")
 
 
 class NoHighMark(Guards):
@@ -164,12 +166,14 @@
 
     @staticmethod
     def guest_hears(loan, m, room):
-        return handoff.guest_hears(msgspec.structs.replace(loan, high=0), m, room)
+        return handoff.receive_at_remote(msgspec.structs.replace(loan, highest_number=0), m, room)
 
 
 class StartsOnReservation(Guards):
     guest_startable = staticmethod(
-        lambda loan: loan.rows & ~loan.done if loan.state in (handoff.RESERVED, handoff.HOLDING) else 0
+        lambda loan: (
+            loan.task_mask & ~loan.done_mask if loan.state in (handoff.RESERVED, handoff.HOLDING) else 0
+        )
     )
 
 
@@ -178,15 +182,17 @@
 
     @staticmethod
     def recall(loan):
-        return handoff.force(loan) if loan.state == handoff.GRANTED else handoff.recall(loan)
+        return handoff.force_end(loan) if loan.state == handoff.GRANTED else handoff.recall(loan)
 
 
 class CancelsAtOnce(Guards):
     @staticmethod
     def cancel(loan):
-        if loan.answer:
+        if loan.final_state:
             return loan, []
-        return msgspec.structs.replace(loan, state=handoff.SETTLED, answer="cancelled", cancel=True), []
+        return msgspec.structs.replace(
+            loan, state=handoff.SETTLED, final_state="cancelled", cancel_requested=True
+        ), []
 
 
 class TakesOldResults(Guards):
@@ -194,9 +200,9 @@
 
     @staticmethod
     def home_hears(loan, m):
-        if m.kind in (handoff.RESULT, handoff.OVER):
+        if m.kind in (handoff.RESULT, handoff.ENDED):
             m = msgspec.structs.replace(m, number=loan.number)
-        return handoff.home_hears(loan, m)
+        return handoff.receive_at_origin(loan, m)
 
 
 class ForgetsDone(Guards):
@@ -204,9 +210,9 @@
 
     @staticmethod
     def home_hears(loan, m):
-        if m.kind == handoff.RESULT and loan.answer:
-            return msgspec.structs.replace(loan, answer="done"), []
-        return handoff.home_hears(loan, m)
+        if m.kind == handoff.RESULT and loan.final_state:
+            return msgspec.structs.replace(loan, final_state="done"), []
+        return handoff.receive_at_origin(loan, m)
 
 
 class HomeClockFirst(Guards):
@@ -214,7 +220,7 @@
 
 
 @pytest.mark.parametrize(
-    "guards,repeats",
+    "guards,rerunnable",
     [
         (NoHighMark, False),
         (StartsOnReservation, False),
@@ -225,8 +231,8 @@
         (HomeClockFirst, True),
     ],
 )
-def test_each_guard_is_needed(guards, repeats):
-    _, why = walk(World(HomeLoan(2, repeats=repeats)), guards)
+def test_each_guard_is_needed(guards, rerunnable):
+    _, why = walk(World(OriginOffload(2, rerunnable=rerunnable)), guards)
     assert why, guards.__name__
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -81,7 +81,9 @@
 
 def hear(cluster, kind, **fields):
     loan = cluster.loans.home["req-1"].loan
-    return cluster.books.act("req-1", handoff.home_hears(loan, handoff.Message(kind, loan.number, **fields)))
+    return cluster.books.act(
+        "req-1", handoff.receive_at_origin(loan, handoff.Message(kind, loan.number, **fields))
+    )
 
 
 def test_an_offer_takes_the_route_away_and_what_was_placed_meanwhile_stays():
@@ -134,7 +136,7 @@
         and not job.has_waiting_tasks
     )
     assert "l/req-1" in one.changed and one.loans.home["req-1"].loan.state == handoff.RECALLING
-    assert one.home(hear(one, handoff.OVER, rows=0b011, done=0b001))
+    assert one.home(hear(one, handoff.ENDED, task_mask=0b011, done_mask=0b001))
     assert job.state == JobState.CANCELLED and one.loans.open_home == set()
 
 
@@ -145,12 +147,12 @@
     one.put("r/0/req-1", RouteRecord("2"))
     one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
-    assert one.home(hear(one, handoff.RESULT, rows=0b011, done=0b011))
-    assert job.state == JobState.DONE and one.loans.home["req-1"].loan.done == 0b011
+    assert one.home(hear(one, handoff.RESULT, task_mask=0b011, done_mask=0b011))
+    assert job.state == JobState.DONE and one.loans.home["req-1"].loan.done_mask == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
     assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
-    assert other.home(hear(other, handoff.RESULT, rows=0b011, done=0b011))
+    assert other.home(hear(other, handoff.RESULT, task_mask=0b011, done_mask=0b011))
     # Its own task still runs: its owner will find the job complete.
     assert job.state == JobState.QUEUED and job.done_tasks == 0b011 and not job.offloaded_tasks
     other.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
@@ -160,7 +162,7 @@
 def test_what_is_borrowed_runs_with_the_numbers_of_home_and_in_no_aim_of_ours():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
-    book = GuestBook(handoff.GuestLoan(handoff.HOLDING, 9, 0b011000, high=9), NEED, 3, one)
+    book = GuestBook(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
     rec = borrowed_rec("huye", "req-5", book, 50)
     there.put("j/" + rec.spec.job_id, rec)
     job = there.view.jobs["lent-huye-5-9"]
@@ -183,14 +185,14 @@
     one = spec(job_id="req-5", kind="array", tasks=2)
     for first in ("begin", "stop"):
         there = Cluster()
-        book = GuestBook(handoff.GuestLoan(handoff.HOLDING, 9, 0b11, high=9), NEED, 3, one)
+        book = GuestBook(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
         there.put("g/huye/req-5", book)
         local = "j/" + local_ref("huye", "req-5", 9)
         begin = (
             {local: borrowed_rec("huye", "req-5", book, 5)},
             {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
         )
-        stop = there.books.act_as_guest("huye", "req-5", (handoff.give_back(book.loan), []))
+        stop = there.books.act_as_guest("huye", "req-5", (handoff.begin_return(book.loan), []))
         if first == "begin":
             assert there.write(begin)
             # Decided before the job was there, written after: it withdraws the job as well.
@@ -200,13 +202,13 @@
             there = Cluster()
             there.put("g/huye/req-5", book)
             there.put(local, borrowed_rec("huye", "req-5", book, 5))
-            stop = there.books.act_as_guest("huye", "req-5", (handoff.give_back(book.loan), []))
+            stop = there.books.act_as_guest("huye", "req-5", (handoff.begin_return(book.loan), []))
             stop.orderly = True
             assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
             held = there.loans.guest["huye", "req-5"].loan
-            gone = there.books.act_as_guest("huye", "req-5", handoff.stopped(held))
+            gone = there.books.act_as_guest("huye", "req-5", handoff.all_tasks_stopped(held))
             assert there.guest(gone) and job.state == JobState.CANCELLED
         else:
             assert there.guest(stop) and not there.write(begin)
@@ -247,7 +249,7 @@
         job.placed_tasks = (1 << running) - 1
         state = handoff.HOLDING if holding else handoff.STOPPING
         loans.append(
-            (("huye", f"req-{i}"), GuestBook(handoff.GuestLoan(state, 1, 31), Need(1, 0, 0), since), job)
+            (("huye", f"req-{i}"), GuestBook(handoff.RemoteOffload(state, 1, 31), Need(1, 0, 0), since), job)
         )
         jobs["huye", f"req-{i}"] = (since, running, holding)
     seen = Look(own=(float(wants), 0.0, 0.0), own_since_us=0 if wants else None)
@@ -397,8 +399,8 @@
 
     def hear(self, to, message):
         if to == "guest":
-            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(handoff.GuestLoan())
-            loan, says = handoff.guest_hears(book.loan, message, True)
+            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(handoff.RemoteOffload())
+            loan, says = handoff.receive_at_remote(book.loan, message, True)
             if loan == book.loan:
                 self.say("home", says)
                 return
@@ -410,7 +412,7 @@
         book = self.home.loans.home.get("req-1")
         if book is None:
             return
-        loan, says = handoff.home_hears(book.loan, message)
+        loan, says = handoff.receive_at_origin(book.loan, message)
         if loan == book.loan or self.home.home(
             Entry("l/req-1", book, msgspec.structs.replace(book, loan=loan), "kigali", [])
         ):
@@ -461,7 +463,7 @@
                 if there.all_tasks_done:
                     self.there.put(f"j/{name}", JobRecord(there.spec, 1, JobState.DONE, 2))
         elif what == "give back" and book is not None and book.loan.state == handoff.HOLDING:
-            entry = self.there.books.act_as_guest("huye", "req-1", (handoff.give_back(book.loan), []))
+            entry = self.there.books.act_as_guest("huye", "req-1", (handoff.begin_return(book.loan), []))
             self.there.guest(entry)
         elif what == "tend" and book is not None and book.loan.state in (handoff.HOLDING, handoff.STOPPING):
             if (there is not None and there.is_final) or (
@@ -471,21 +473,21 @@
                 done = (
                     0
                     if there is None
-                    else loan.rows
+                    else loan.task_mask
                     if there.state == JobState.DONE
-                    else there.done_tasks & loan.rows
+                    else there.done_tasks & loan.task_mask
                 )
                 for task in range(3):
                     if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
-                        loan, says = handoff.done_at_guest(loan, task)
+                        loan, says = handoff.task_done_at_remote(loan, task)
                 if loan.state == handoff.STOPPING:
-                    loan, says = handoff.stopped(loan)
+                    loan, says = handoff.all_tasks_stopped(loan)
                 entry = self.there.books.act_as_guest("huye", "req-1", (loan, says))
                 self.do(self.there, self.there.guest, entry, "home")
         elif what == "again":
             mine = self.home.loans.home.get("req-1")
-            self.say("guest", handoff.home_says(mine.loan) if mine else [])
-            self.say("home", handoff.guest_says(book.loan) if book else [])
+            self.say("guest", handoff.origin_messages(mine.loan) if mine else [])
+            self.say("home", handoff.remote_messages(book.loan) if book else [])
 
 
 STEPS = st.sampled_from(
@@ -529,7 +531,7 @@
     if job.state == JobState.DONE:
         assert sorted(tasks) == [0, 1, 2]
     book, _, _ = both.local()
-    assert book is None or book.loan.state == handoff.NONE
+    assert book is None or book.loan.state == handoff.NO_OFFLOAD
     assert not both.home.loans.open_home
 
 
@@ -573,7 +575,7 @@
     assert one.home(one.offer(job, 2))
     assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
     assert one.home(hear(one, handoff.ACCEPT))
-    assert ask() is None and one.loans.home["req-1"].loan.cancel
+    assert ask() is None and one.loans.home["req-1"].loan.cancel_requested
     stamp = one.view.version_of("l/req-1")
     assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
     assert isinstance(one.loans.home["req-1"], HomeBook)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -95,7 +95,7 @@
         books = self.b.desk.books
         for (peer, job), book in list(books.guest.items()):
             if book.loan.startable:
-                await self.b.desk.do(books.act_as_guest(peer, job, handoff.done_at_guest(book.loan, 0)))
+                await self.b.desk.do(books.act_as_guest(peer, job, handoff.task_done_at_remote(book.loan, 0)))
 
 
 def play(scenario, tmp_path):
@@ -126,8 +126,8 @@
         assert [b.loan.state for b in world.b.desk.books.guest.values()] == [handoff.HOLDING] * 2
         await world.finish()
         await world.steps(2)
-        assert all(b.loan.answer == "done" for b in world.a.desk.books.home.values())
-        assert all(b.loan.state == handoff.NONE for b in world.b.desk.books.guest.values())
+        assert all(b.loan.final_state == "done" for b in world.a.desk.books.home.values())
+        assert all(b.loan.state == handoff.NO_OFFLOAD for b in world.b.desk.books.guest.values())
         # Three records written at home for each loan, four at the guest.
         assert (world.a.commits, world.b.commits) == (6, 8)
 
@@ -146,14 +146,14 @@
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
         books = world.a.desk.books
         await world.a.desk.do(books.act("req-3", handoff.cancel(books.home["req-3"].loan)))
-        assert states(world)["req-3"] == handoff.RECALLING and not books.home["req-3"].loan.answer
+        assert states(world)["req-3"] == handoff.RECALLING and not books.home["req-3"].loan.final_state
         world.a.crash()
         world.b.crash()
         world.a.cut = False
         await world.steps(6)
         home = world.a.desk.books.home
         # The guest had finished all of them before it heard of anything: that is the answer.
-        assert {b.loan.answer for b in home.values()} == {"done"}
+        assert {b.loan.final_state for b in home.values()} == {"done"}
         assert world.a.desk.peers["nyarugenge"].state == peer_health.UP
 
     play(scenario, tmp_path)
@@ -184,7 +184,7 @@
         )  # nobody's word ends it, and nothing is started at home
         world.a.keys.issue()
         await world.steps(4)
-        assert world.a.desk.books.home["req-1"].loan.answer == "done"
+        assert world.a.desk.books.home["req-1"].loan.final_state == "done"
 
     play(scenario, tmp_path)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -8,7 +8,7 @@
 
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff
-from pearstep.federation.handoff import GuestLoan, HomeLoan, Message
+from pearstep.federation.handoff import Message, OriginOffload, RemoteOffload
 from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need, Said
 from pearstep.federation.link import Envelope, decode, encode
 from pearstep.federation.offload_selection import Grant, Lend
@@ -63,7 +63,7 @@
 def test_a_renewal_reaches_the_owners_in_the_step_that_writes_it():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=4)
-    book = GuestBook(GuestLoan(handoff.HOLDING, 9, 0b11, high=9), NEED, 100, one, TERM)
+    book = GuestBook(RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 100, one, TERM)
     there.put("g/huye/req-5", book)
     rec = borrowed_rec("huye", "req-5", book, 100, 500)
     assert rec.run_until_us == 500 and borrowed_rec("huye", "req-5", book, 500, 500) is None
@@ -76,22 +76,22 @@
     # Beside a stop only one of the two stands.
     again = Entry("g/huye/req-5", after, msgspec.structs.replace(after, since_us=400), "huye", [])
     late = guest_writes(there.view, "huye", "req-5", again, 401, 800)
-    given_back = msgspec.structs.replace(after, loan=handoff.give_back(after.loan))
+    given_back = msgspec.structs.replace(after, loan=handoff.begin_return(after.loan))
     stop = Entry("g/huye/req-5", after, given_back, "huye", [])
     assert there.write(guest_writes(there.view, "huye", "req-5", stop, 402)) and not there.write(late)
     assert job.is_final and job.run_until_us == 700
 
 
 def test_an_offer_whose_term_leaves_no_time_is_refused():
-    rows = ((TERM, True, True), (30 * SECOND_US, True, False), (0, True, False), (0, False, True))
-    for term_us, repeats, taken in rows:
+    cases = ((TERM, True, True), (30 * SECOND_US, True, False), (0, True, False), (0, False, True))
+    for term_us, rerunnable, taken in cases:
         books = Books(1, {"huye": Grant(9, 9, 9)}, 30 * SECOND_US, LEASE, MARGIN)
-        said = Said("req-1", Message(handoff.OFFER, 5, 1, repeats=repeats), NEED, spec(), term_us)
+        said = Said("req-1", Message(handoff.OFFER, 5, 1, rerunnable=rerunnable), NEED, spec(), term_us)
         found = books.hear("huye", said, Need(9, 9, 9), 7)
         if taken:
             assert isinstance(found, Entry) and found.after.loan.state == handoff.RESERVED
         else:
-            assert [s.message.kind for s in found] == [handoff.REFUSE], (term_us, repeats)
+            assert [s.message.kind for s in found] == [handoff.REFUSE], (term_us, rerunnable)
 
 
 class Side:
@@ -146,7 +146,7 @@
     def take_back(self):
         book = self.home.books.home.get("req-1")
         if book is not None and self.home.books.over(book, self.home.wall(self.now)):
-            entry = self.home.books.act("req-1", handoff.term_over(book.loan))
+            entry = self.home.books.act("req-1", handoff.take_back_after_term(book.loan))
             self.write(self.home, entry)
             if self.runs_until is not None:
                 # What was answered last, and what it then needs to save and to be noticed.
@@ -213,9 +213,11 @@
                 pair.channel.append((False, said))
         elif what == "say":
             book, loan = pair.guest(), pair.home.books.home["req-1"].loan
-            pair.channel += [(True, Said("req-1", m, NEED, pair.job, TERM)) for m in handoff.home_says(loan)]
             pair.channel += [
-                (False, Said("req-1", m)) for m in (handoff.guest_says(book.loan) if book else [])
+                (True, Said("req-1", m, NEED, pair.job, TERM)) for m in handoff.origin_messages(loan)
+            ]
+            pair.channel += [
+                (False, Said("req-1", m)) for m in (handoff.remote_messages(book.loan) if book else [])
             ]
         elif what == "end":
             pair.edge(guest=False)
@@ -225,7 +227,7 @@
     pair.owners_serve()
     pair.edge(guest=False)
     pair.take_back()
-    assert pair.home.books.home["req-1"].loan.state == handoff.AT_HOME
+    assert pair.home.books.home["req-1"].loan.state == handoff.AT_ORIGIN
 
 
 def test_terms_that_are_renewed_last():
@@ -284,11 +286,11 @@
     back = decode(msgspec.msgpack.encode(older))
     assert back.items[0].spec is None and back.offer is None
     # Without the job itself nothing can be begun: it goes home again, and is not run as something else.
-    book = GuestBook(GuestLoan(handoff.HOLDING, 7, 3, high=7), NEED, 0, back.items[0].spec)
+    book = GuestBook(RemoteOffload(handoff.HOLDING, 7, 3, highest_number=7), NEED, 0, back.items[0].spec)
     assert borrowed_rec("huye", "req-1", book, 0) is None
     # What nobody knows here changes nothing.
     books = Books(1, {}, 1)
-    books.home["req-1"] = HomeBook(HomeLoan(2, state=handoff.GRANTED, number=7, rows=3), "kigali")
+    books.home["req-1"] = HomeBook(OriginOffload(2, state=handoff.GRANTED, number=7, task_mask=3), "kigali")
     if kind == "something later":
         assert books.hear("kigali", back.items[0], NEED, 0) == []
     assert local_ref("huye", "req-1", 7) == "lent-huye-1-7"
