--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -11,7 +11,7 @@
 
 from pearstep.domain.scheduling_order import StartObjectives
 from pearstep.federation import handoff
-from pearstep.federation.ledger import GuestBook, Need
+from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_selection import Grant, Waiting, offered
 from pearstep.federation.writes import borrowed
 from pearstep.leader.cluster_snapshot import ClusterSnapshot
@@ -179,14 +179,14 @@
     return offered(grant, free, add(seen.own, seen.lent), used)
 
 
-def as_need(amounts: Amounts) -> Need:
+def as_need(amounts: Amounts) -> ResourceAmounts:
     """Return amounts as the ledger takes them."""
-    return Need(*amounts)
+    return ResourceAmounts(*amounts)
 
 
 def give_way(
     seen: Look,
-    loans: Iterable[tuple[tuple[str, str], GuestBook, Job | None]],
+    loans: Iterable[tuple[tuple[str, str], RemoteRecord, Job | None]],
     now_us: int,
     yield_us: int,
     idle_us: int,
@@ -198,7 +198,7 @@
     (an array of a peer is stopped by ordinary preemption as well, a gang by nothing else); and those that
     have found no resources here for ``idle_us``, which may do better in their origin cluster.
     """
-    held = [(name, book, job) for name, book, job in loans if book.loan.state == handoff.HOLDING]
+    held = [(name, book, job) for name, book, job in loans if book.offload.state == handoff.HOLDING]
     out: list[tuple[str, str]] = []
     if seen.own_since_us is not None and now_us - seen.own_since_us >= yield_us:
         need = seen.own
--- a/pearstep/federation/carrying.py
+++ b/pearstep/federation/carrying.py
@@ -119,7 +119,11 @@
         """The description of a job, while the peer that asks holds its offload."""
         assert self.archive is not None
         book = self.loans.home.get(arg.get("ref", ""))
-        if book is None or book.peer != peer or book.loan.state not in (handoff.GRANTED, handoff.RECALLING):
+        if (
+            book is None
+            or book.peer != peer
+            or book.offload.state not in (handoff.GRANTED, handoff.RECALLING)
+        ):
             return 404, b'{"error":"not lent to this peer"}', {}
         status, body = await self.archive.ask("GET", f"/v1/jobs/{arg['ref']}")
         return status, body, {}
@@ -171,13 +175,13 @@
             return
         for ref in self.loans.open_home:
             book = self.loans.home[ref]
-            if book.loan.state != handoff.OFFERED:
-                self._watched[ref, book.loan.number] = book.peer
+            if book.offload.state != handoff.OFFERED:
+                self._watched[ref, book.offload.number] = book.peer
         # After a change of the lead, what ended a moment ago may not be whole.
         for ref, job in self.view.open_jobs.items():
             lent = self.loans.home.get(ref)
-            if lent is not None and lent.peer and lent.loan.number and job.state == JobState.QUEUED:
-                self._watched.setdefault((ref, lent.loan.number), lent.peer)
+            if lent is not None and lent.peer and lent.offload.number and job.state == JobState.QUEUED:
+                self._watched.setdefault((ref, lent.offload.number), lent.peer)
         todo = [k for k in self._watched if k not in self._whole]
         for i in range(0, len(todo), AT_ONCE):
             await asyncio.gather(*(self._copy(*key) for key in todo[i : i + AT_ONCE]))
@@ -185,7 +189,7 @@
     async def _copy(self, ref: str, number: int) -> None:
         peer = self._watched[ref, number]
         book = self.loans.home.get(ref)
-        over = book is None or book.loan.number != number or ref not in self.loans.open_home
+        over = book is None or book.offload.number != number or ref not in self.loans.open_home
         try:
             found = msgspec.json.decode(
                 await self._ask(peer, "GET", f"{ATTEMPTS}?ref={ref}&number={number}"), type=Found
--- a/pearstep/federation/desk.py
+++ b/pearstep/federation/desk.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from pearstep.federation.ledger import Books, Entry, Need, Said
+from pearstep.federation.ledger import JobMessage, LedgerEntry, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import VERSION, Envelope, Offer
 from pearstep.federation.peer_health import BACK, Patience, Peer
 
@@ -19,7 +19,7 @@
 # A question now and then keeps a silent link from looking cut.
 ASK_US = 1_000_000
 
-Commit = Callable[[Entry], Awaitable[bool]]
+Commit = Callable[[LedgerEntry], Awaitable[bool]]
 Send = Callable[[str, Envelope], Awaitable[Envelope | None]]
 
 
@@ -29,15 +29,15 @@
     def __init__(  # noqa: PLR0913 - callbacks of the owner, passed one by one; to be grouped in one type
         self,
         site: str,
-        books: Books,
+        books: OffloadLedger,
         peers: list[str],
         patience: Patience,
         commit: Commit,
         send: Send,
-        free: Callable[[str], Need],
+        free: Callable[[str], ResourceAmounts],
         now_us: Callable[[], int],
         wall_us: Callable[[], int],
-        changed: Callable[[Entry], None] = lambda entry: None,
+        changed: Callable[[LedgerEntry], None] = lambda entry: None,
         offer: Callable[[str], Offer | None] = lambda peer: None,
     ) -> None:
         """Coordinate the offloads of a site.
@@ -67,9 +67,9 @@
         self.link_us: dict[str, int] = {}
         self._asked: dict[str, int] = {}
         self._locks: dict[str, asyncio.Lock] = {}
-        self._first: dict[str, list[Said]] = {}
+        self._first: dict[str, list[JobMessage]] = {}
 
-    async def write(self, entry: Entry | None) -> list[Said]:
+    async def write(self, entry: LedgerEntry | None) -> list[JobMessage]:
         """Commit an entry; return the messages that it permits, none if it was not committed.
 
         Entries of one record are committed one after another. An entry that was decided on a version of the
@@ -81,18 +81,18 @@
         async with lock:
             if self.books.record(entry.key) != entry.before or not await self._commit(entry):
                 return []
-            said = self.books.written(entry, self._now_us())
+            said = self.books.apply_commit(entry, self._now_us())
         self._changed(entry)
         return said
 
-    async def do(self, entry: Entry | None) -> bool:
+    async def do(self, entry: LedgerEntry | None) -> bool:
         """A step of our own accord; what it permits goes with the next envelope."""
         said = await self.write(entry)
         if entry is not None and said:
             self._first.setdefault(entry.peer, []).extend(said)
         return entry is not None and self.books.record(entry.key) == entry.after
 
-    def say(self, peer: str, said: Said) -> None:
+    def say(self, peer: str, said: JobMessage) -> None:
         """Something that changes no record here goes with the next envelope."""
         box = self._first.setdefault(peer, [])
         if said not in box:
@@ -103,7 +103,7 @@
         self._heard(peer, envelope)
         return self._envelope(peer, await self._take(peer, envelope.items))
 
-    def _envelope(self, peer: str, items: list[Said]) -> Envelope:
+    def _envelope(self, peer: str, items: list[JobMessage]) -> Envelope:
         return Envelope(VERSION, self.site, items, self._whole(peer), self._offer(peer))
 
     def _heard(self, peer: str, envelope: Envelope) -> None:
@@ -113,7 +113,7 @@
         before = one.state
         one.heard(self._now_us())
         if one.state == BACK and before != BACK:
-            self.books.back(peer)
+            self.books.reset_backoffs(peer)
         if envelope.whole and one.state == BACK:
             one.agree(self._now_us())
         if one.state != before:
@@ -121,13 +121,13 @@
 
     def _whole(self, peer: str) -> bool:
         """Whether all that is open with a peer has been said since it is back."""
-        return not self.books.unsaid(peer)
+        return not self.books.has_unsent_messages(peer)
 
-    async def _take(self, peer: str, items: list[Said]) -> list[Said]:
-        out: list[Said] = []
+    async def _take(self, peer: str, items: list[JobMessage]) -> list[JobMessage]:
+        out: list[JobMessage] = []
         for said in items:
-            found = self.books.hear(peer, said, self._free(peer), self._wall_us())
-            out += await self.write(found) if isinstance(found, Entry) else found
+            found = self.books.receive(peer, said, self._free(peer), self._wall_us())
+            out += await self.write(found) if isinstance(found, LedgerEntry) else found
         return out
 
     async def step(self) -> None:
@@ -138,9 +138,9 @@
             peer.tick(now)
             if peer.state != before:
                 log.info("peer %s: %s -> %s", peer.name, before, peer.state)
-        for entry in self.books.overdue(self._wall_us()):
+        for entry in self.books.expired_reservations(self._wall_us()):
             await self.write(entry)
-        due = self.books.due(self.peers, now)
+        due = self.books.due_messages(self.peers, now)
         sends = []
         for name in self.peers:
             items = self._first.pop(name, [])
@@ -150,7 +150,7 @@
                 sends.append(self._exchange(name, items))
         await asyncio.gather(*sends)
 
-    async def _exchange(self, peer: str, items: list[Said]) -> None:
+    async def _exchange(self, peer: str, items: list[JobMessage]) -> None:
         begun = self._now_us()
         answer = await self._send(peer, self._envelope(peer, items))
         if answer is None:
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -1,11 +1,11 @@
 """The ledger of offloads: all records of one cluster as origin and as remote cluster.
 
-It decides what is to be written and which messages are to be sent again, without input or output: it returns
-entries; the caller commits each in a compare-and-swap transaction and then calls ``written``, which permits
-the messages.
+It decides which records to write and which messages to send again, without input or output. It returns
+entries; the caller commits each in a compare-and-swap transaction and then calls ``apply_commit``, which
+returns the messages to send.
 
-The records are those of the state service, so that a controller that takes over starts from them. When a
-message was last sent is not stored, so that it is sent once more then.
+The records are those of the state service, so that a controller that takes over starts from them. The time
+at which a message was last sent is not stored; a controller that takes over sends it once more.
 """
 
 from __future__ import annotations
@@ -17,175 +17,189 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import handoff
 from pearstep.federation.handoff import Message, OriginOffload, RemoteOffload
-from pearstep.federation.offload_selection import Grant, Lend
+from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.peer_health import Peer
-from pearstep.federation.terms import HomeTerm, Term
+from pearstep.federation.terms import OriginTerm, Term
 
-FIRST_AGAIN_US, LONGEST_AGAIN_US = 1_000_000, 30_000_000
-MOST_IN_ENVELOPE = 200
-# Offloads that one leadership may make: their numbers are its fencing token and a count below this.
-PER_STAMP = 1 << 20
+FIRST_BACKOFF_US, LONGEST_BACKOFF_US = 1_000_000, 30_000_000
+MAX_MESSAGES_PER_ENVELOPE = 200
+# One leadership may make so many offloads: a number is its fencing token times this, plus a count below it.
+OFFLOADS_PER_FENCING_TOKEN = 1 << 20
 
 
-class Need(msgspec.Struct, frozen=True):
-    """The resources that one task takes."""
+class ResourceAmounts(msgspec.Struct, frozen=True):
+    """An amount of each resource, such as the amounts that one task takes."""
 
     cpus: float = 1.0
     gpus: float = 0.0
     memory_gb: float = 0.0
 
 
-class Said(msgspec.Struct, frozen=True):
-    """A message about a job, as it goes over the link; the job's id is that of its origin cluster.
+class JobMessage(msgspec.Struct, frozen=True):
+    """A message about a job, as it is sent over the link; ``ref`` is the job's id in its origin cluster.
 
-    An offer has what its tasks need, and the job as it was accepted; what it runs is requested by its id.
+    An offer carries the resources that one task takes and the job's specification as it was accepted. The
+    remote cluster requests the job's description by its id.
     """
 
     ref: str
     message: Message
-    need: Need = Need()
+    need: ResourceAmounts = ResourceAmounts()
     spec: JobSpec | None = None
-    # For work with a term: its length, and when, by the remote cluster's wall clock, it asked to renew.
-    term_us: int = 0
-    at_us: int = 0
+    term_us: int = 0  # the length of the term of work that may run twice
+    at_us: int = 0  # the remote cluster's wall time at which it requested a renewal
 
 
-class HomeBook(msgspec.Struct, frozen=True):
-    """A job as its origin cluster records it: the offload, its present or last peer, what a task needs.
+class OriginRecord(msgspec.Struct, frozen=True, rename={"offload": "loan"}):
+    """A job's record in its origin cluster: the offload, its current or last peer, the resources of one task.
 
-    ``forced`` says which operator ended an offload without the remote cluster, and why.
+    ``returned`` counts the offloads that a peer returned. ``forced`` is the operator's reason for ending an
+    offload without the remote cluster.
     """
 
-    loan: OriginOffload
+    offload: OriginOffload
     peer: str = ""
-    need: Need = Need()
+    need: ResourceAmounts = ResourceAmounts()
     returned: int = 0
     spec: JobSpec | None = None
     forced: str = ""
     term_us: int = 0
-    since_us: int = 0  # wall time from which the term counts: of the grant, or of the last renewal
+    since_us: int = 0  # wall time of the grant or of the last renewal, from which the term counts
 
 
-class GuestBook(msgspec.Struct, frozen=True):
-    """A job's record as guest of a peer."""
+class RemoteRecord(msgspec.Struct, frozen=True, rename={"offload": "loan"}):
+    """The record of a peer's job in the remote cluster."""
 
-    loan: RemoteOffload
-    need: Need = Need()
-    # Time of day of the reservation, or at which the last renewal was asked for: the term counts from here.
+    offload: RemoteOffload
+    need: ResourceAmounts = ResourceAmounts()
+    # Wall time of the reservation, or of the request for the last renewal, from which the term counts.
     since_us: int = 0
     spec: JobSpec | None = None
     term_us: int = 0
 
 
-class Entry(msgspec.Struct):
-    """A record to write, by key, under the condition that it is still ``before``; then what it permits."""
+class LedgerEntry(msgspec.Struct):
+    """A record to write if the stored one is still ``before``, and the messages that it then permits."""
 
     key: str
-    before: HomeBook | GuestBook | None
-    after: HomeBook | GuestBook
+    before: OriginRecord | RemoteRecord | None
+    after: OriginRecord | RemoteRecord
     peer: str
-    says: list[Said]
-    # Of a loan that is being stopped: of our own accord, with time to save.
-    orderly: bool = False
+    messages: list[JobMessage]
+    # Whether the remote cluster stops the offload by its own decision, with time for a checkpoint.
+    graceful: bool = False
 
 
-class Books:
+class OffloadLedger:
     """The offloads of one cluster."""
 
     def __init__(
-        self, stamp: int, grants: dict[str, Grant], reserve_us: int, lease_us: int = 0, margin_us: int = 0
+        self,
+        fencing_token: int,
+        grants: dict[str, Grant],
+        reserve_us: int,
+        lease_us: int = 0,
+        margin_us: int = 0,
     ) -> None:
         """Begin without records.
 
         Args:
-            stamp: The fencing token of the leader; with a count it makes numbers that are unique and grow.
-            grants: What each peer is granted, by its name.
+            fencing_token: The fencing token of the leader; with a count it makes unique, growing numbers.
+            grants: The resources that each peer is granted, by its name.
             reserve_us: How long resources are reserved for an offer.
             lease_us: The lease of our workers.
-            margin_us: How long our controllers may take to notice something, with the error of their clocks.
+            margin_us: How long our controllers may take to notice a change, plus the error of their clocks.
         """
         self.lease_us, self.margin_us = lease_us, margin_us
-        self.stamp = stamp
-        self.count = 0
+        self.fencing_token = fencing_token
+        self.offload_count = 0
         self.grants = grants
         self.reserve_us = reserve_us
-        self.home: dict[str, HomeBook] = {}
-        self.guest: dict[tuple[str, str], GuestBook] = {}
-        self._open_home: Collection[str] | None = None
-        self._open_guest: Collection[tuple[str, str]] | None = None
-        self._again: dict[tuple[str, str, str], tuple[int, int]] = {}  # next time and backoff
-
-    def load(self, home: dict[str, HomeBook], guest: dict[tuple[str, str], GuestBook]) -> None:
+        self.origin_records: dict[str, OriginRecord] = {}
+        self.remote_records: dict[tuple[str, str], RemoteRecord] = {}
+        self._open_origin: Collection[str] | None = None
+        self._open_remote: Collection[tuple[str, str]] | None = None
+        self._retries: dict[tuple[str, str, str], tuple[int, int]] = {}  # next time and backoff
+
+    def load(
+        self, origin_records: dict[str, OriginRecord], remote_records: dict[tuple[str, str], RemoteRecord]
+    ) -> None:
         """Start from a copy of the records."""
-        self.home, self.guest = dict(home), dict(guest)
+        self.origin_records, self.remote_records = dict(origin_records), dict(remote_records)
 
-    def share(
+    def follow_records(
         self,
-        home: dict[str, HomeBook],
-        guest: dict[tuple[str, str], GuestBook],
-        open_home: Collection[str],
-        open_guest: Collection[tuple[str, str]],
+        origin_records: dict[str, OriginRecord],
+        remote_records: dict[tuple[str, str], RemoteRecord],
+        open_origin: Collection[str],
+        open_remote: Collection[tuple[str, str]],
     ) -> None:
         """Use records that follow the state service, so that decisions see what other controllers write.
 
-        ``open_home`` and ``open_guest`` name the records whose offloads are open. Only these are gone
-        through: records outlive their offloads, and each round would cost more than the one before.
+        ``open_origin`` and ``open_remote`` name the records whose offloads are open. Each round visits only
+        these: records are kept after their offloads end, so the cost of visiting all would grow each round.
         """
-        self.home, self.guest = home, guest
-        self._open_home, self._open_guest = open_home, open_guest
-
-    def _homes(self) -> list[tuple[str, HomeBook]]:
-        """Return the records as origin cluster, at least those whose offloads are open."""
-        if self._open_home is None:
-            return list(self.home.items())
-        return [(job, self.home[job]) for job in self._open_home]
-
-    def _guests(self) -> list[tuple[str, str, GuestBook]]:
-        """Return the records as remote cluster (peer, job, record), at least those that are open."""
-        names = self.guest if self._open_guest is None else self._open_guest
-        return [(peer, job, self.guest[peer, job]) for peer, job in names]
-
-    def _says(self) -> Iterator[tuple[str, str, str, list[Said]]]:
-        """Yield what every record permits to be sent: kind, peer, job, messages."""
-        for job, home in self._homes():
-            yield "l", home.peer, job, [self._said(job, m, home) for m in handoff.origin_messages(home.loan)]
-        for peer, job, guest in self._guests():
-            yield "g", peer, job, [Said(job, m) for m in handoff.remote_messages(guest.loan)]
-
-    def record(self, key: str) -> HomeBook | GuestBook | None:
+        self.origin_records, self.remote_records = origin_records, remote_records
+        self._open_origin, self._open_remote = open_origin, open_remote
+
+    def _origin_items(self) -> list[tuple[str, OriginRecord]]:
+        """Return the records of the origin side, at least those whose offloads are open."""
+        if self._open_origin is None:
+            return list(self.origin_records.items())
+        return [(job, self.origin_records[job]) for job in self._open_origin]
+
+    def _remote_items(self) -> list[tuple[str, str, RemoteRecord]]:
+        """Return the records of the remote side (peer, job, record), at least those that are open."""
+        names = self.remote_records if self._open_remote is None else self._open_remote
+        return [(peer, job, self.remote_records[peer, job]) for peer, job in names]
+
+    def _permitted_messages(self) -> Iterator[tuple[str, str, str, list[JobMessage]]]:
+        """Yield the messages that each record permits, as kind, peer, job, messages."""
+        for job, record in self._origin_items():
+            yield (
+                "l",
+                record.peer,
+                job,
+                [self._job_message(job, m, record) for m in handoff.origin_messages(record.offload)],
+            )
+        for peer, job, record in self._remote_items():
+            yield "g", peer, job, [JobMessage(job, m) for m in handoff.remote_messages(record.offload)]
+
+    def record(self, key: str) -> OriginRecord | RemoteRecord | None:
         """Return the record of a key, or None."""
         kind, _, rest = key.partition("/")
         if kind == "l":
-            return self.home.get(rest)
+            return self.origin_records.get(rest)
         peer, _, job = rest.partition("/")
-        return self.guest.get((peer, job))
+        return self.remote_records.get((peer, job))
 
-    def unsaid(self, peer: str) -> bool:
+    def has_unsent_messages(self, peer: str) -> bool:
         """Tell whether a message about an open offload has not been sent to a peer since it came back."""
         return any(
-            says and to == peer and (kind, to, job) not in self._again for kind, to, job, says in self._says()
+            messages and to == peer and (kind, to, job) not in self._retries
+            for kind, to, job, messages in self._permitted_messages()
         )
 
     # -- decisions -------------------------------------------------------------------------------
 
-    def lend(  # noqa: PLR0913 - the offer of a job has so many parts, and each call gives them all
+    def offer(  # noqa: PLR0913 - the parts of an offer, all of which each call passes
         self,
         job: str,
         tasks: int,
-        need: Need,
-        lend: Lend,
+        need: ResourceAmounts,
+        planned: PlannedOffer,
         running: int,
         rerunnable: bool,
         spec: JobSpec | None = None,
         term_us: int = 0,
-    ) -> Entry | None:
-        """Offer waiting tasks of a job to a peer, from the lowest on.
+    ) -> LedgerEntry | None:
+        """Offer waiting tasks of a job to a peer, those with the lowest numbers first.
 
         Args:
             job: The id of the job.
             tasks: The number of its tasks.
-            need: What one task takes.
-            lend: The peer, and how many tasks to offer.
+            need: The resources that one task takes.
+            planned: The peer, and how many tasks to offer.
             running: The mask of tasks that run here.
             rerunnable: Whether the tasks may run twice.
             spec: The job as it was accepted.
@@ -194,251 +208,289 @@
         Returns:
             The entry to write, or None if nothing can be offered.
         """
-        book = self.home.get(job) or HomeBook(OriginOffload(tasks, rerunnable=rerunnable))
-        waiting = book.loan.startable & ~running
+        record = self.origin_records.get(job) or OriginRecord(OriginOffload(tasks, rerunnable=rerunnable))
+        waiting = record.offload.startable & ~running
         task_mask = 0
         for task in range(tasks):
-            if waiting >> task & 1 and task_mask.bit_count() < lend.rows:
+            if waiting >> task & 1 and task_mask.bit_count() < planned.rows:
                 task_mask |= 1 << task
-        self.count += 1
-        if self.count >= PER_STAMP:
+        self.offload_count += 1
+        if self.offload_count >= OFFLOADS_PER_FENCING_TOKEN:
             return None
-        number = self.stamp * PER_STAMP + self.count
-        loan, said = handoff.offer(book.loan, number, task_mask, running)
-        if loan == book.loan:
+        number = self.fencing_token * OFFLOADS_PER_FENCING_TOKEN + self.offload_count
+        offload, job_message = handoff.offer(record.offload, number, task_mask, running)
+        if offload == record.offload:
             return None
         after = msgspec.structs.replace(
-            book, loan=loan, peer=lend.peer, need=need, spec=spec, term_us=term_us
+            record, offload=offload, peer=planned.peer, need=need, spec=spec, term_us=term_us
         )
-        return self._home_entry(job, after, said)
+        return self._origin_entry(job, after, job_message)
 
-    def act(self, job: str, change: tuple[OriginOffload, list[Message]]) -> Entry | None:
-        """Return the entry of a change that the origin cluster makes by itself, such as a recall."""
-        book = self.home.get(job)
-        if book is None or change[0] == book.loan:
+    def change_origin(self, job: str, change: tuple[OriginOffload, list[Message]]) -> LedgerEntry | None:
+        """Return the entry of a change that the origin cluster decides by itself, such as a recall."""
+        record = self.origin_records.get(job)
+        if record is None or change[0] == record.offload:
             return None
-        return self._home_entry(job, msgspec.structs.replace(book, loan=change[0]), change[1])
-
-    def act_as_guest(self, peer: str, job: str, change: tuple[RemoteOffload, list[Message]]) -> Entry | None:
-        """Return the entry of a change that the remote cluster makes by itself, such as a finished task."""
-        book = self.guest.get((peer, job))
-        if book is None or change[0] == book.loan:
+        return self._origin_entry(job, msgspec.structs.replace(record, offload=change[0]), change[1])
+
+    def change_remote(
+        self, peer: str, job: str, change: tuple[RemoteOffload, list[Message]]
+    ) -> LedgerEntry | None:
+        """Return the entry of a change that the remote cluster decides by itself, such as a finished task."""
+        record = self.remote_records.get((peer, job))
+        if record is None or change[0] == record.offload:
             return None
-        return self._guest_entry(peer, job, msgspec.structs.replace(book, loan=change[0]), change[1])
+        return self._remote_entry(peer, job, msgspec.structs.replace(record, offload=change[0]), change[1])
 
-    def hear(self, peer: str, said: Said, free: Need, wall_us: int) -> Entry | list[Said]:
-        """Take in a message of a peer.
+    def receive(
+        self, peer: str, job_message: JobMessage, free: ResourceAmounts, wall_us: int
+    ) -> LedgerEntry | list[JobMessage]:
+        """Apply a message of a peer.
 
         Args:
             peer: The name of the peer.
-            said: The message.
-            free: What the cluster has free for offloads now, without what is reserved.
+            job_message: The message.
+            free: The resources free for offloads now; what is reserved is subtracted from them here.
             wall_us: The wall time.
 
         Returns:
-            The entry to write, or, if nothing changes, what to answer at once.
+            The entry to write, or, if nothing changes, the messages to answer with at once.
         """
-        kind = said.message.kind
+        kind = job_message.message.kind
         if kind == handoff.RENEW:
-            return self._renew(peer, said, wall_us)
+            return self._receive_renew(peer, job_message, wall_us)
         if kind == handoff.RENEWED:
-            return self._renewed(peer, said)
+            return self._receive_renewed(peer, job_message)
         if kind in (handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM):
-            guest = self.guest.get((peer, said.ref)) or GuestBook(RemoteOffload())
-            fits = kind != handoff.OFFER or (self._room(peer, said, free) and self._usable(said))
-            loan, answers = handoff.receive_at_remote(guest.loan, said.message, fits)
-            out = [Said(said.ref, m) for m in answers]
-            if loan == guest.loan:
+            record = self.remote_records.get((peer, job_message.ref)) or RemoteRecord(RemoteOffload())
+            fits = kind != handoff.OFFER or (
+                self._fits(peer, job_message, free) and self._leaves_time_to_run(job_message)
+            )
+            offload, answers = handoff.receive_at_remote(record.offload, job_message.message, fits)
+            out = [JobMessage(job_message.ref, m) for m in answers]
+            if offload == record.offload:
                 return out
-            after = msgspec.structs.replace(guest, loan=loan)
-            if loan.state == handoff.RESERVED and guest.loan.number != loan.number:
-                after = GuestBook(loan, said.need, wall_us, said.spec, said.term_us)
-            if loan.state == handoff.NO_OFFLOAD:
-                after = GuestBook(loan)  # only the number must be remembered
-            return self._guest_entry(peer, said.ref, after, answers)
-        book = self.home.get(said.ref) or HomeBook(OriginOffload(0, state=handoff.SETTLED))
-        if book.peer and book.peer != peer:
-            # This peer no longer has the job, so its offload has ended. Its number is never the present one,
-            # so that the answer is the same as for any earlier offload.
-            old = msgspec.structs.replace(book.loan, state=handoff.AT_ORIGIN, number=0)
-            _, answers = handoff.receive_at_origin(old, said.message)
-            return [Said(said.ref, m) for m in answers]
-        before = book.loan
-        home, answers = handoff.receive_at_origin(before, said.message)
-        if home == before or said.ref not in self.home:
-            return [self._said(said.ref, m, book) for m in answers]
-        came_back = before.state in (handoff.GRANTED, handoff.RECALLING) and home.state == handoff.AT_ORIGIN
+            after = msgspec.structs.replace(record, offload=offload)
+            if offload.state == handoff.RESERVED and record.offload.number != offload.number:
+                after = RemoteRecord(
+                    offload, job_message.need, wall_us, job_message.spec, job_message.term_us
+                )
+            if offload.state == handoff.NO_OFFLOAD:
+                after = RemoteRecord(offload)  # only the highest number is kept
+            return self._remote_entry(peer, job_message.ref, after, answers)
+        record = self.origin_records.get(job_message.ref) or OriginRecord(
+            OriginOffload(0, state=handoff.SETTLED)
+        )
+        if record.peer and record.peer != peer:
+            # This peer no longer has the job, so its offload has ended. Its number differs from the current
+            # one, so the answer is the same as for any earlier offload.
+            old = msgspec.structs.replace(record.offload, state=handoff.AT_ORIGIN, number=0)
+            _, answers = handoff.receive_at_origin(old, job_message.message)
+            return [JobMessage(job_message.ref, m) for m in answers]
+        before = record.offload
+        offload, answers = handoff.receive_at_origin(before, job_message.message)
+        if offload == before or job_message.ref not in self.origin_records:
+            return [self._job_message(job_message.ref, m, record) for m in answers]
+        came_back = (
+            before.state in (handoff.GRANTED, handoff.RECALLING) and offload.state == handoff.AT_ORIGIN
+        )
         since = (
-            wall_us if home.state == handoff.GRANTED and before.state == handoff.OFFERED else book.since_us
+            wall_us
+            if offload.state == handoff.GRANTED and before.state == handoff.OFFERED
+            else record.since_us
         )
-        ended = msgspec.structs.replace(book, loan=home, returned=book.returned + came_back, since_us=since)
-        return self._home_entry(said.ref, ended, answers)
+        ended = msgspec.structs.replace(
+            record, offload=offload, returned=record.returned + came_back, since_us=since
+        )
+        return self._origin_entry(job_message.ref, ended, answers)
 
     # -- terms -----------------------------------------------------------------------------------
 
-    def term(self, book: HomeBook | GuestBook) -> Term | None:
-        """Return the term of an offload as this side computes it; None if it has none."""
-        save_us = book.spec.save_us if book.spec is not None else 0
-        return Term(book.term_us, self.lease_us, save_us, self.margin_us) if book.term_us else None
+    def term(self, record: OriginRecord | RemoteRecord) -> Term | None:
+        """Return the term of an offload, computed with this cluster's settings; None if it has none."""
+        save_us = record.spec.save_us if record.spec is not None else 0
+        return Term(record.term_us, self.lease_us, save_us, self.margin_us) if record.term_us else None
 
-    def _usable(self, said: Said) -> bool:
-        """Tell whether an offer leaves any time to run.
+    def _leaves_time_to_run(self, job_message: JobMessage) -> bool:
+        """Tell whether the term of an offer leaves any time to run.
 
-        Work that may run twice needs a term that is longer than what we need to stop it.
+        Work that may run twice needs a term longer than the time that this cluster needs to stop it.
         """
-        if not said.message.rerunnable:
+        if not job_message.message.rerunnable:
             return True
-        save_us = said.spec.save_us if said.spec is not None else 0
-        return Term(said.term_us, self.lease_us, save_us, self.margin_us).usable
-
-    def until_us(self, book: GuestBook) -> int:
-        """Return the wall time from which on a job of a peer may not run here; 0 if there is none."""
-        term = self.term(book)
-        return book.since_us + term.stop_us if term is not None else 0
-
-    def over(self, book: HomeBook, wall_us: int) -> bool:
-        """Tell whether the remote cluster has certainly stopped: its term began no later than ours."""
-        term = self.term(book)
-        running = book.loan.state in (handoff.GRANTED, handoff.RECALLING) and book.loan.rerunnable
-        return running and term is not None and HomeTerm(term, book.since_us).over(wall_us)
-
-    def renewal(self, peer: str, ref: str, wall_us: int) -> Said | None:
-        """Return the request to renew an offload that we hold, if half of its time is over."""
-        book = self.guest.get((peer, ref))
-        term = self.term(book) if book is not None else None
-        if book is None or term is None or book.loan.state != handoff.HOLDING:
+        save_us = job_message.spec.save_us if job_message.spec is not None else 0
+        return Term(job_message.term_us, self.lease_us, save_us, self.margin_us).leaves_time_to_run
+
+    def run_until_us(self, record: RemoteRecord) -> int:
+        """Return the wall time until which a peer's job may run here; 0 if it has no term."""
+        term = self.term(record)
+        return record.since_us + term.stop_us if term is not None else 0
+
+    def term_has_ended(self, record: OriginRecord, wall_us: int) -> bool:
+        """Tell whether the remote cluster has certainly stopped; its term began no later than ours."""
+        term = self.term(record)
+        running = record.offload.state in (handoff.GRANTED, handoff.RECALLING) and record.offload.rerunnable
+        return running and term is not None and OriginTerm(term, record.since_us).has_ended(wall_us)
+
+    def renewal_request(self, peer: str, ref: str, wall_us: int) -> JobMessage | None:
+        """Return the request to renew a held offload if half of its running time has passed, else None."""
+        record = self.remote_records.get((peer, ref))
+        term = self.term(record) if record is not None else None
+        if record is None or term is None or record.offload.state != handoff.HOLDING:
             return None
-        if not term.renew_us <= wall_us - book.since_us < term.stop_us:
+        if not term.renew_us <= wall_us - record.since_us < term.stop_us:
             return None
-        return Said(ref, Message(handoff.RENEW, book.loan.number), at_us=wall_us)
-
-    def _renew(self, peer: str, said: Said, wall_us: int) -> Entry | list[Said]:
-        """Take in a request to renew, which is stored before it is answered."""
-        book = self.home.get(said.ref)
-        if book is None or book.peer != peer or book.loan.number != said.message.number:
+        return JobMessage(ref, Message(handoff.RENEW, record.offload.number), at_us=wall_us)
+
+    def _receive_renew(
+        self, peer: str, job_message: JobMessage, wall_us: int
+    ) -> LedgerEntry | list[JobMessage]:
+        """Apply a request to renew a term; the renewal is stored before it is answered."""
+        record = self.origin_records.get(job_message.ref)
+        if record is None or record.peer != peer or record.offload.number != job_message.message.number:
             return []
-        if book.loan.state != handoff.GRANTED:
-            return [self._said(said.ref, m, book) for m in handoff.origin_messages(book.loan)]
-        after = msgspec.structs.replace(book, since_us=max(book.since_us, wall_us))
-        entry = self._home_entry(said.ref, after, [])
-        entry.says = [Said(said.ref, Message(handoff.RENEWED, book.loan.number), at_us=said.at_us)]
+        if record.offload.state != handoff.GRANTED:
+            return [
+                self._job_message(job_message.ref, m, record) for m in handoff.origin_messages(record.offload)
+            ]
+        after = msgspec.structs.replace(record, since_us=max(record.since_us, wall_us))
+        entry = self._origin_entry(job_message.ref, after, [])
+        entry.messages = [
+            JobMessage(
+                job_message.ref, Message(handoff.RENEWED, record.offload.number), at_us=job_message.at_us
+            )
+        ]
         return entry
 
-    def _renewed(self, peer: str, said: Said) -> Entry | list[Said]:
-        """Take in that the origin cluster has renewed the term from the time of our request, by our clock."""
-        book = self.guest.get((peer, said.ref))
-        if book is None or book.loan.number != said.message.number or book.loan.state != handoff.HOLDING:
+    def _receive_renewed(self, peer: str, job_message: JobMessage) -> LedgerEntry | list[JobMessage]:
+        """Apply a renewal, which counts from the time of our request by our own clock."""
+        record = self.remote_records.get((peer, job_message.ref))
+        if (
+            record is None
+            or record.offload.number != job_message.message.number
+            or record.offload.state != handoff.HOLDING
+        ):
             return []
-        if said.at_us <= book.since_us:
+        if job_message.at_us <= record.since_us:
             return []
-        return self._guest_entry(peer, said.ref, msgspec.structs.replace(book, since_us=said.at_us), [])
+        return self._remote_entry(
+            peer, job_message.ref, msgspec.structs.replace(record, since_us=job_message.at_us), []
+        )
 
-    def _room(self, peer: str, said: Said, free: Need) -> bool:
-        """Tell whether an offer fits in what is free and in what is left of the peer's grant."""
+    def _fits(self, peer: str, job_message: JobMessage, free: ResourceAmounts) -> bool:
+        """Tell whether an offer fits in the free resources and in the unused part of the peer's grant."""
         grant = self.grants.get(peer)
         if grant is None:
             return False
         used = self.used(peer)
-        count = said.message.task_mask.bit_count()
-        need = (said.need.cpus * count, said.need.gpus * count, said.need.memory_gb * count)
+        count = job_message.message.task_mask.bit_count()
+        need = (
+            job_message.need.cpus * count,
+            job_message.need.gpus * count,
+            job_message.need.memory_gb * count,
+        )
         reserved = self.reserved()
         granted = (grant.cpus, grant.gpus, grant.memory_gb)
-        there = (free.cpus, free.gpus, free.memory_gb)
+        available = (free.cpus, free.gpus, free.memory_gb)
         return all(
             n <= f - r + 1e-9 and n <= g - u + 1e-9
-            for n, f, r, g, u in zip(need, there, reserved, granted, used, strict=True)
+            for n, f, r, g, u in zip(need, available, reserved, granted, used, strict=True)
         )
 
     def used(self, peer: str) -> tuple[float, float, float]:
-        """Return what a peer uses of its grant: reserved, running and stopping."""
-        return _sum(b for p, _, b in self._guests() if p == peer and b.loan.state in _OCCUPIED)
+        """Return the resources that a peer uses of its grant: reserved, running and stopping."""
+        return _total_amounts(
+            b for p, _, b in self._remote_items() if p == peer and b.offload.state in _OCCUPYING_STATES
+        )
 
     def reserved(self) -> tuple[float, float, float]:
-        """Return what is reserved for offers that were accepted and not granted yet."""
-        return _sum(b for _, _, b in self._guests() if b.loan.state == handoff.RESERVED)
+        """Return the resources that are reserved for accepted offers that are not granted yet."""
+        return _total_amounts(b for _, _, b in self._remote_items() if b.offload.state == handoff.RESERVED)
 
     # -- entries ---------------------------------------------------------------------------------
 
-    def _home_entry(self, job: str, after: HomeBook, says: list[Message]) -> Entry:
-        before = self.home.get(job)
-        return Entry(f"l/{job}", before, after, after.peer, [self._said(job, m, after) for m in says])
+    def _origin_entry(self, job: str, after: OriginRecord, messages: list[Message]) -> LedgerEntry:
+        before = self.origin_records.get(job)
+        return LedgerEntry(
+            f"l/{job}", before, after, after.peer, [self._job_message(job, m, after) for m in messages]
+        )
 
     @staticmethod
-    def _said(job: str, message: Message, book: HomeBook) -> Said:
+    def _job_message(job: str, message: Message, record: OriginRecord) -> JobMessage:
         if message.kind != handoff.OFFER:
-            return Said(job, message, book.need)
-        return Said(job, message, book.need, book.spec, book.term_us)
+            return JobMessage(job, message, record.need)
+        return JobMessage(job, message, record.need, record.spec, record.term_us)
 
-    def _guest_entry(self, peer: str, job: str, after: GuestBook, says: list[Message]) -> Entry:
-        before = self.guest.get((peer, job))
-        return Entry(f"g/{peer}/{job}", before, after, peer, [Said(job, m) for m in says])
+    def _remote_entry(self, peer: str, job: str, after: RemoteRecord, messages: list[Message]) -> LedgerEntry:
+        before = self.remote_records.get((peer, job))
+        return LedgerEntry(f"g/{peer}/{job}", before, after, peer, [JobMessage(job, m) for m in messages])
 
-    def written(self, entry: Entry, now_us: int) -> list[Said]:
-        """Take in that an entry was committed; return what may be sent now."""
+    def apply_commit(self, entry: LedgerEntry, now_us: int) -> list[JobMessage]:
+        """Apply a committed entry; return the messages that may be sent now."""
         kind, _, rest = entry.key.partition("/")
         if kind == "l":
-            assert isinstance(entry.after, HomeBook)
-            self.home[rest] = entry.after
+            assert isinstance(entry.after, OriginRecord)
+            self.origin_records[rest] = entry.after
         else:
-            assert isinstance(entry.after, GuestBook)
-            self.guest[entry.peer, rest.partition("/")[2]] = entry.after
-        self._again.pop((kind, entry.peer, rest.rpartition("/")[2]), None)
-        for said in entry.says:
-            self._note((kind, entry.peer, said.ref), now_us)
-        return entry.says
+            assert isinstance(entry.after, RemoteRecord)
+            self.remote_records[entry.peer, rest.partition("/")[2]] = entry.after
+        self._retries.pop((kind, entry.peer, rest.rpartition("/")[2]), None)
+        for job_message in entry.messages:
+            self._schedule_retry((kind, entry.peer, job_message.ref), now_us)
+        return entry.messages
 
     # -- retries ---------------------------------------------------------------------------------
 
-    def _note(self, key: tuple[str, str, str], now_us: int) -> None:
-        pause = self._again.get(key, (0, FIRST_AGAIN_US // 2))[1] * 2
-        self._again[key] = (now_us + pause, min(pause, LONGEST_AGAIN_US // 2))
+    def _schedule_retry(self, key: tuple[str, str, str], now_us: int) -> None:
+        pause = self._retries.get(key, (0, FIRST_BACKOFF_US // 2))[1] * 2
+        self._retries[key] = (now_us + pause, min(pause, LONGEST_BACKOFF_US // 2))
 
-    def due(self, peers: dict[str, Peer], now_us: int) -> dict[str, list[Said]]:
-        """Return what is to be sent again by peer, at most an envelope each.
+    def due_messages(self, peers: dict[str, Peer], now_us: int) -> dict[str, list[JobMessage]]:
+        """Return the messages to send again by peer, and about as many as fit an envelope.
 
-        That is what has not been answered, after a backoff that doubles. A peer that came back is told of
-        every offload before it counts as up.
+        An unanswered message is sent again after a backoff that doubles. A peer that came back receives the
+        messages of every open offload before it counts as up.
         """
-        out: dict[str, list[Said]] = {}
-        for kind, peer, job, says in self._says():
-            if not says or peer not in peers:
+        out: dict[str, list[JobMessage]] = {}
+        for kind, peer, job, messages in self._permitted_messages():
+            if not messages or peer not in peers:
                 continue
             key = (kind, peer, job)
-            box = out.setdefault(peer, [])
-            if now_us >= self._again.get(key, (0, 0))[0] and len(box) < MOST_IN_ENVELOPE:
-                box += says
-                self._note(key, now_us)
-        return {peer: box for peer, box in out.items() if box}
-
-    def back(self, peer: str) -> None:
-        """Forget the backoffs for a peer that is heard from again: what is open with it is sent at once."""
-        self._again = {key: when for key, when in self._again.items() if key[1] != peer}
-
-    def changed(self, key: str) -> None:
-        """Take in that another controller wrote a record: what it permits is sent at once."""
+            batch = out.setdefault(peer, [])
+            if now_us >= self._retries.get(key, (0, 0))[0] and len(batch) < MAX_MESSAGES_PER_ENVELOPE:
+                batch += messages
+                self._schedule_retry(key, now_us)
+        return {peer: batch for peer, batch in out.items() if batch}
+
+    def reset_backoffs(self, peer: str) -> None:
+        """Reset the backoffs for a peer that answers again; all open messages to it are sent at once."""
+        self._retries = {key: when for key, when in self._retries.items() if key[1] != peer}
+
+    def record_changed(self, key: str) -> None:
+        """Reset the backoff of a record that another controller wrote; its messages are sent at once."""
         kind, _, rest = key.partition("/")
         job = rest.rpartition("/")[2]
-        self._again = {k: when for k, when in self._again.items() if (k[0], k[2]) != (kind, job)}
+        self._retries = {k: when for k, when in self._retries.items() if (k[0], k[2]) != (kind, job)}
 
-    def overdue(self, wall_us: int) -> list[Entry]:
-        """Return the entries that end reservations whose time is over."""
+    def expired_reservations(self, wall_us: int) -> list[LedgerEntry]:
+        """Return the entries that end the reservations whose time has passed."""
         out = []
-        for peer, job, book in self._guests():
-            if book.loan.state == handoff.RESERVED and wall_us - book.since_us >= self.reserve_us:
-                entry = self.act_as_guest(peer, job, (handoff.expire_reservation(book.loan), []))
+        for peer, job, record in self._remote_items():
+            if record.offload.state == handoff.RESERVED and wall_us - record.since_us >= self.reserve_us:
+                entry = self.change_remote(peer, job, (handoff.expire_reservation(record.offload), []))
                 if entry is not None:
                     out.append(entry)
         return out
 
 
-_OCCUPIED = (handoff.RESERVED, handoff.HOLDING, handoff.STOPPING)
+_OCCUPYING_STATES = (handoff.RESERVED, handoff.HOLDING, handoff.STOPPING)
 
 
-def _sum(books: Iterable[GuestBook]) -> tuple[float, float, float]:
+def _total_amounts(records: Iterable[RemoteRecord]) -> tuple[float, float, float]:
     cpus = gpus = memory = 0.0
-    for book in books:
-        count = (book.loan.task_mask & ~book.loan.done_mask).bit_count()
-        cpus += book.need.cpus * count
-        gpus += book.need.gpus * count
-        memory += book.need.memory_gb * count
+    for record in records:
+        count = (record.offload.task_mask & ~record.offload.done_mask).bit_count()
+        cpus += record.need.cpus * count
+        gpus += record.need.gpus * count
+        memory += record.need.memory_gb * count
     return cpus, gpus, memory
--- a/pearstep/federation/link.py
+++ b/pearstep/federation/link.py
@@ -15,7 +15,7 @@
 from tornado.iostream import IOStream
 
 from pearstep.federation.keys import Keys, SiteKeyError, server_name
-from pearstep.federation.ledger import Said
+from pearstep.federation.ledger import JobMessage
 from pearstep.transport.http import Answer, Client, Server
 
 LOANS = "/v1/loans"
@@ -46,7 +46,7 @@
 
     version: int
     site: str
-    items: list[Said]
+    items: list[JobMessage]
     whole: bool = False
     offer: Offer | None = None
 
--- a/pearstep/federation/offload_records.py
+++ b/pearstep/federation/offload_records.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pearstep.federation import handoff
-from pearstep.federation.ledger import GuestBook, HomeBook
+from pearstep.federation.ledger import OriginRecord, RemoteRecord
 from pearstep.federation.offload_selection import Grant
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
@@ -41,19 +41,19 @@
     forgotten: str = ""
 
 
-_home = msgspec.json.Decoder(HomeBook)
-_guest = msgspec.json.Decoder(GuestBook)
+_home = msgspec.json.Decoder(OriginRecord)
+_guest = msgspec.json.Decoder(RemoteRecord)
 _peer = msgspec.json.Decoder(PeerRec)
 
 
-def lent_mask(job: Job, book: HomeBook) -> int:
+def lent_mask(job: Job, book: OriginRecord) -> int:
     """Return the mask of tasks that must not be routed here.
 
     These are the offloaded tasks, and all tasks once a cancellation waits for the answer of a peer.
     """
-    if book.loan.cancel_requested and not job.is_final:
+    if book.offload.cancel_requested and not job.is_final:
         return job.spec.all_tasks
-    return book.loan.task_mask if book.loan.state in OPEN_HOME else 0
+    return book.offload.task_mask if book.offload.state in OPEN_HOME else 0
 
 
 class Loans:
@@ -62,8 +62,8 @@
     def __init__(self, view: Replica, changed: Callable[[str], None]) -> None:
         """Register with the replica; ``changed`` is called with each key that changes."""
         self.view = view
-        self.home: dict[str, HomeBook] = {}
-        self.guest: dict[tuple[str, str], GuestBook] = {}
+        self.home: dict[str, OriginRecord] = {}
+        self.guest: dict[tuple[str, str], RemoteRecord] = {}
         self.peers: dict[str, PeerRec] = {}
         self.open_home: set[str] = set()
         self.open_guest: set[tuple[str, str]] = set()
@@ -76,7 +76,7 @@
             self.open_home.discard(ref)
         else:
             book = self.home[ref] = _home.decode(raw)
-            if book.loan.state in OPEN_HOME:
+            if book.offload.state in OPEN_HOME:
                 self.open_home.add(ref)
             else:
                 self.open_home.discard(ref)
@@ -95,7 +95,7 @@
         if book is None:
             job.offloaded_tasks = 0
             return
-        job.done_tasks |= book.loan.done_mask
+        job.done_tasks |= book.offload.done_mask
         job.offloaded_tasks = lent_mask(job, book)
 
     def _put_guest(self, rest: str, stamp: int, raw: bytes | None) -> None:
@@ -105,7 +105,7 @@
             self.open_guest.discard((peer, ref))
         else:
             book = self.guest[peer, ref] = _guest.decode(raw)
-            if book.loan.state == handoff.NO_OFFLOAD:
+            if book.offload.state == handoff.NO_OFFLOAD:
                 self.open_guest.discard((peer, ref))
             else:
                 self.open_guest.add((peer, ref))
--- a/pearstep/federation/offload_selection.py
+++ b/pearstep/federation/offload_selection.py
@@ -75,7 +75,7 @@
     most_in_pass: int = 256
 
 
-class Lend(msgspec.Struct, frozen=True):
+class PlannedOffer(msgspec.Struct, frozen=True):
     """Offer ``rows`` tasks of a job to a peer."""
 
     ref: str
@@ -119,7 +119,9 @@
     return job.start_us > job.aim_us and there + margin <= job.start_us
 
 
-def choose(waiting: Iterable[Waiting], rooms: Iterable[Room], policy: Policy, now_us: int) -> list[Lend]:
+def choose(
+    waiting: Iterable[Waiting], rooms: Iterable[Room], policy: Policy, now_us: int
+) -> list[PlannedOffer]:
     """Return what to offer now, the most overdue jobs first and pivots last.
 
     The rooms are changed: resources that are assigned in this pass are taken from them.
@@ -141,7 +143,7 @@
     first = heapq.nsmallest(
         4 * policy.most_in_pass, late, key=lambda job: (job.pivot, job.aim_us - job.start_us, job.ref)
     )
-    out: list[Lend] = []
+    out: list[PlannedOffer] = []
     for job in first:
         best = None
         for room in open_rooms:
@@ -157,7 +159,7 @@
         room.gpus -= rows * job.gpus
         room.memory_gb -= rows * job.memory_gb
         room.under_way += 1
-        out.append(Lend(job.ref, room.peer, rows))
+        out.append(PlannedOffer(job.ref, room.peer, rows))
         if len(out) >= policy.most_in_pass:
             break
     return out
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -12,7 +12,7 @@
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import peer_health
 from pearstep.federation.desk import Desk
-from pearstep.federation.ledger import HomeBook
+from pearstep.federation.ledger import OriginRecord
 from pearstep.federation.offload_records import Loans
 from pearstep.transport.http import Answer
 
@@ -61,9 +61,9 @@
         self.refused.set(refused)
 
 
-def loan_facts(ref: str, book: HomeBook) -> dict[str, Any]:
+def loan_facts(ref: str, book: OriginRecord) -> dict[str, Any]:
     """Return the facts of work that this cluster has offloaded."""
-    loan = book.loan
+    loan = book.offload
     return {
         "ref": ref,
         "as": "home",
@@ -108,7 +108,7 @@
         )
     rows = [loan_facts(ref, loans.home[ref]) for ref in sorted(loans.open_home)[:MOST_LOANS]]
     for peer_name, job in sorted(loans.open_guest)[:MOST_LOANS]:
-        loan = loans.guest[peer_name, job].loan
+        loan = loans.guest[peer_name, job].offload
         rows.append(
             {
                 "ref": job,
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -31,7 +31,7 @@
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
 from pearstep.federation.keys import Keys
-from pearstep.federation.ledger import Books, Entry, GuestBook, Need
+from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
 from pearstep.federation.offload_selection import Grant, Room, choose
@@ -97,7 +97,7 @@
 
     def _changed(self, key: str) -> None:
         if self.desk is not None and key[:2] in ("l/", "g/"):
-            self.desk.books.changed(key)
+            self.desk.books.record_changed(key)
 
     # -- the desk, while this node leads ---------------------------------------------------------
 
@@ -110,7 +110,7 @@
         if self.node.kv.unavailable_since_us is not None or not self.node.leases.may_act():
             return None
         if chief is not self._chief:
-            books = Books(
+            books = OffloadLedger(
                 chief.fencing_token,
                 {},
                 int(self.settings.reserve_s * SECOND_US),
@@ -118,7 +118,7 @@
                 int(self.settings.margin_s * SECOND_US),
             )
             loans = self.loans
-            books.share(loans.home, loans.guest, loans.open_home, loans.open_guest)
+            books.follow_records(loans.home, loans.guest, loans.open_home, loans.open_guest)
             self._chief = chief
             self._offered.clear()
             self.desk = Desk(
@@ -160,7 +160,7 @@
                 peer.resume()
             desk.books.grants[name] = rec.grant if not rec.drained else Grant()
 
-    async def _commit(self, entry: Entry) -> bool:
+    async def _commit(self, entry: LedgerEntry) -> bool:
         """Write an entry together with what it means for its job."""
         chief = self._chief
         if chief is None or not chief.is_current():
@@ -170,8 +170,8 @@
             writes = home_writes(self.view, rest, entry, wall_us())
         else:
             peer, _, ref = rest.partition("/")
-            assert self.desk is not None and isinstance(entry.after, GuestBook)
-            until = self.desk.books.until_us(entry.after)
+            assert self.desk is not None and isinstance(entry.after, RemoteRecord)
+            until = self.desk.books.run_until_us(entry.after)
             writes = guest_writes(self.view, peer, ref, entry, wall_us(), until)
         return writes is not None and await chief.commit(*writes) == CommitOutcome.COMMITTED
 
@@ -198,47 +198,47 @@
         for ref in list(self.loans.open_home):
             book, job = self.loans.home[ref], self.view.jobs.get(ref)
             rec = self.loans.peers.get(book.peer)
-            since = self._offered.setdefault(ref, now) if book.loan.state == handoff.OFFERED else now
+            since = self._offered.setdefault(ref, now) if book.offload.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
-                entry = desk.books.act(ref, handoff.force_end(book.loan))
+                entry = desk.books.change_origin(ref, handoff.force_end(book.offload))
                 if entry is not None:
                     why = rec.forgotten if rec is not None else "the peer was removed"
                     entry.after = msgspec.structs.replace(entry.after, forced=why)
                     log.warning("loan of %s to %s ended by an operator's word: %s", ref, book.peer, why)
                     await desk.do(entry)
-            elif desk.books.over(book, wall_us()):
+            elif desk.books.term_has_ended(book, wall_us()):
                 log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.do(desk.books.act(ref, handoff.take_back_after_term(book.loan)))
-            elif book.loan.state == handoff.OFFERED and (
+                await desk.do(desk.books.change_origin(ref, handoff.take_back_after_term(book.offload)))
+            elif book.offload.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
-                await desk.do(desk.books.act(ref, handoff.withdraw(book.loan)))
+                await desk.do(desk.books.change_origin(ref, handoff.withdraw(book.offload)))
         for ref in [r for r in self._offered if r not in self.loans.open_home]:
             del self._offered[ref]
 
     async def _tend_guest(self, desk: Desk) -> None:
         """What is borrowed: begin it, notice its end, give back what must go."""
-        rows: list[tuple[tuple[str, str], GuestBook, Job | None]] = []
+        rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
         for peer, ref in list(self.loans.open_guest):
             book = self.loans.guest[peer, ref]
-            job = self.view.jobs.get(local_ref(peer, ref, book.loan.number))
+            job = self.view.jobs.get(local_ref(peer, ref, book.offload.number))
             rows.append(((peer, ref), book, job))
-            if book.loan.state == handoff.HOLDING and job is None:
+            if book.offload.state == handoff.HOLDING and job is None:
                 if (peer, ref) not in self._starting:
                     self._starting.add((peer, ref))
                     self._tasks.start(self._begin(peer, ref))
             elif job is not None and (
-                (job.is_final and book.loan.state in (handoff.HOLDING, handoff.STOPPING))
+                (job.is_final and book.offload.state in (handoff.HOLDING, handoff.STOPPING))
                 or (
-                    book.loan.state == handoff.STOPPING
+                    book.offload.state == handoff.STOPPING
                     and job.past_run_limit(wall_us())
                     and not job.placed_tasks
                 )
             ):
                 await self._ended(desk, peer, ref, book, job)
-            elif book.loan.state == handoff.STOPPING and job is None:
-                await desk.do(desk.books.act_as_guest(peer, ref, handoff.all_tasks_stopped(book.loan)))
-            if book.term_us and book.loan.state == handoff.HOLDING:
+            elif book.offload.state == handoff.STOPPING and job is None:
+                await desk.do(desk.books.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload)))
+            if book.term_us and book.offload.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
         for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
             del self._renewing[loan]
@@ -251,23 +251,23 @@
 
     async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.books.act_as_guest(
-            peer, ref, (handoff.begin_return(self.loans.guest[peer, ref].loan), [])
+        entry = desk.books.change_remote(
+            peer, ref, (handoff.begin_return(self.loans.guest[peer, ref].offload), [])
         )
         if entry is not None:
-            entry.orderly = True
+            entry.graceful = True
             await desk.do(entry)
 
-    async def _keep_term(self, desk: Desk, peer: str, ref: str, book: GuestBook) -> None:
+    async def _keep_term(self, desk: Desk, peer: str, ref: str, book: RemoteRecord) -> None:
         """Ask for more time once half of the term is over, and give the job back at its end.
 
         The shard owners stop running tasks by themselves then; this only reports it to the home site.
         """
-        if wall_us() >= desk.books.until_us(book):
+        if wall_us() >= desk.books.run_until_us(book):
             log.info("the term of %s from %s is over here", ref, peer)
             await self._give_back(desk, peer, ref)
         elif now_us() - self._renewing.get((peer, ref), -(1 << 60)) >= SECOND_US:
-            said = desk.books.renewal(peer, ref, wall_us())
+            said = desk.books.renewal_request(peer, ref, wall_us())
             if said is not None:
                 self._renewing[peer, ref] = now_us()
                 desk.say(peer, said)
@@ -279,7 +279,7 @@
             if book is None or chief is None:
                 return
             desk = self.desk
-            until = desk.books.until_us(book) if desk is not None else 0
+            until = desk.books.run_until_us(book) if desk is not None else 0
             rec = borrowed_rec(peer, ref, book, wall_us(), until)
             if rec is None or not await self.carrying.fetch_description(peer, ref, rec.spec.job_id):
                 return
@@ -290,14 +290,14 @@
         finally:
             self._starting.discard((peer, ref))
 
-    async def _ended(self, desk: Desk, peer: str, ref: str, book: GuestBook, job: Job) -> None:
+    async def _ended(self, desk: Desk, peer: str, ref: str, book: RemoteRecord, job: Job) -> None:
         """The borrowed job is over: once nothing of it is anywhere, home is told."""
         if job.placed_tasks:
             return
-        loan, says = book.loan, list[handoff.Message]()
+        loan, says = book.offload, list[handoff.Message]()
         if loan.state == handoff.HOLDING and job.state != JobState.DONE:
             # Somebody here has cancelled it.
-            await desk.do(desk.books.act_as_guest(peer, ref, (handoff.begin_return(loan), [])))
+            await desk.do(desk.books.change_remote(peer, ref, (handoff.begin_return(loan), [])))
             return
         done = loan.task_mask if job.state == JobState.DONE else job.done_tasks & loan.task_mask
         for task in range(job.spec.tasks):
@@ -305,7 +305,7 @@
                 loan, says = handoff.task_done_at_remote(loan, task)
         if loan.state == handoff.STOPPING:
             loan, says = handoff.all_tasks_stopped(loan)
-        await desk.do(desk.books.act_as_guest(peer, ref, (loan, says)))
+        await desk.do(desk.books.change_remote(peer, ref, (loan, says)))
 
     # -- lending ---------------------------------------------------------------------------------
 
@@ -336,15 +336,15 @@
             now,
             wall_us(),
         )
-        entries: list[Entry] = []
+        entries: list[LedgerEntry] = []
         for lend in choose(queue, rooms, self.policy, now):
             job = self.view.jobs[lend.ref]
             spec = job.spec
             term_us = int(s.leaving.terms_s.get(spec.job_class, 0.0) * SECOND_US)
-            entry = desk.books.lend(
+            entry = desk.books.offer(
                 lend.ref,
                 spec.tasks,
-                Need(spec.cpus, spec.gpus, spec.memory_gb),
+                ResourceAmounts(spec.cpus, spec.gpus, spec.memory_gb),
                 lend,
                 job.placed_tasks | job.done_tasks,
                 bool(term_us),
@@ -361,7 +361,7 @@
         under_way: dict[str, int] = {}
         for ref in self.loans.open_home:
             book = self.loans.home[ref]
-            if book.loan.state == handoff.OFFERED:
+            if book.offload.state == handoff.OFFERED:
                 under_way[book.peer] = under_way.get(book.peer, 0) + 1
         for name, peer in desk.peers.items():
             offer, at = desk.offers.get(name, (None, 0))
@@ -404,7 +404,7 @@
             return (0.0, 0.0, 0.0)
         return room(rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained)
 
-    def _free(self, peer: str) -> Need:
+    def _free(self, peer: str) -> ResourceAmounts:
         """What the books may reserve for a peer; they subtract themselves what is reserved already."""
         desk = self.desk
         assert desk is not None
@@ -431,10 +431,10 @@
         ref = job.spec.job_id
         key = f"l/{ref}"
         book = self.loans.home.get(ref)
-        if book is None or book.loan.state not in (handoff.GRANTED, handoff.RECALLING):
+        if book is None or book.offload.state not in (handoff.GRANTED, handoff.RECALLING):
             return {key: self.view.version_of(key)}
-        if not book.loan.cancel_requested:
-            after = msgspec.structs.replace(book, loan=handoff.cancel(book.loan)[0])
+        if not book.offload.cancel_requested:
+            after = msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0])
             outcome = await self.node.kv.commit(
                 {key: self.view.version_of(key), f"j/{ref}": job.version},
                 {key: (after, None)},
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -15,7 +15,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import handoff
-from pearstep.federation.ledger import Entry, GuestBook, HomeBook
+from pearstep.federation.ledger import LedgerEntry, OriginRecord, RemoteRecord
 from pearstep.federation.offload_records import OPEN_HOME
 from pearstep.leader.route_plan import RoutePlan
 from pearstep.state.job import Job
@@ -48,18 +48,20 @@
     return spec.job_id.startswith("lent-")
 
 
-def borrowed_rec(peer: str, ref: str, book: GuestBook, wall_us: int, until_us: int = 0) -> JobRecord | None:
+def borrowed_rec(
+    peer: str, ref: str, book: RemoteRecord, wall_us: int, until_us: int = 0
+) -> JobRecord | None:
     """Return the record of the job that runs here for a peer, or None if it may not begin.
 
     It has the task numbers of the origin cluster, without the tasks that are not offloaded, the lowest
     priority, and a class of its own, so that no service-level objective or quota guarantee of ours counts for
     it. A job whose term is over doesn't begin.
     """
-    if book.spec is None or book.loan.state != handoff.HOLDING or (until_us and wall_us >= until_us):
+    if book.spec is None or book.offload.state != handoff.HOLDING or (until_us and wall_us >= until_us):
         return None
     spec = msgspec.structs.replace(
         book.spec,
-        job_id=local_ref(peer, ref, book.loan.number),
+        job_id=local_ref(peer, ref, book.offload.number),
         team=team_of(peer),
         job_class=f"{peer}:{book.spec.job_class}",
         priority=LOWEST,
@@ -68,20 +70,20 @@
     return JobRecord(
         spec,
         wall_us,
-        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.loan.task_mask),
+        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.offload.task_mask),
         run_until_us=until_us,
     )
 
 
-def home_writes(view: Replica, ref: str, entry: Entry, wall_us: int) -> Writes | None:
+def home_writes(view: Replica, ref: str, entry: LedgerEntry, wall_us: int) -> Writes | None:
     """Return the transaction of an entry of the origin cluster; None if the job no longer allows it."""
-    assert isinstance(entry.after, HomeBook)
+    assert isinstance(entry.after, OriginRecord)
     job = view.jobs.get(ref)
     if job is None:
         return None
     key = entry.key
-    loan = entry.after.loan
-    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else handoff.AT_ORIGIN
+    loan = entry.after.offload
+    before = entry.before.offload.state if isinstance(entry.before, OriginRecord) else handoff.AT_ORIGIN
     puts: dict[str, Any] = {key: entry.after}
     conditions = {key: view.version_of(key)}
     if loan.state in (handoff.OFFERED, handoff.GRANTED) and loan.state != before:
@@ -120,14 +122,14 @@
 
 
 def guest_writes(
-    view: Replica, peer: str, ref: str, entry: Entry, wall_us: int, until_us: int = 0
+    view: Replica, peer: str, ref: str, entry: LedgerEntry, wall_us: int, until_us: int = 0
 ) -> Writes | None:
     """Return the transaction of an entry of the remote cluster.
 
     ``until_us`` is the wall time until which the job may run after it; 0 if there is no term.
     """
-    assert isinstance(entry.after, GuestBook)
-    loan = entry.after.loan
+    assert isinstance(entry.after, RemoteRecord)
+    loan = entry.after.offload
     puts: dict[str, Any] = {entry.key: entry.after}
     conditions = {entry.key: view.version_of(entry.key)}
     if loan.state in (handoff.STOPPING, handoff.RETURNED):
@@ -138,7 +140,7 @@
         job = view.jobs.get(key[2:])
         conditions[key] = view.version_of(key)
         if job is not None and job.state == JobState.QUEUED:
-            if entry.orderly:
+            if entry.graceful:
                 skip = format_task_ranges(job.excluded_tasks)
                 puts[key] = JobRecord(
                     job.spec, job.submitted_at_us, excluded_tasks=skip, run_until_us=max(wall_us - PAST_US, 1)
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -11,7 +11,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.carrying import LINGER_US, Carrying
 from pearstep.federation.handoff import OriginOffload
-from pearstep.federation.ledger import HomeBook, Need
+from pearstep.federation.ledger import OriginRecord, ResourceAmounts
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import Loans
 from pearstep.federation.writes import local_ref, team_of
@@ -74,8 +74,8 @@
 
 def lend(home, state, **more):
     task_mask = 0 if state == handoff.AT_ORIGIN else 0b11
-    loan = OriginOffload(2, state=state, number=NUMBER, task_mask=task_mask, **more)
-    home.put("l/req-1", HomeBook(loan, "nyarugenge", Need()))
+    offload = OriginOffload(2, state=state, number=NUMBER, task_mask=task_mask, **more)
+    home.put("l/req-1", OriginRecord(offload, "nyarugenge", ResourceAmounts()))
 
 
 async def write(there, key, data, end, cause="done", hole=0):
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -11,7 +11,7 @@
 from pearstep.federation.handoff import OriginOffload, RemoteOffload
 from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
 from pearstep.federation.peer_health import Patience, Peer
-from pearstep.federation.terms import GuestTerm, HomeTerm, Term
+from pearstep.federation.terms import OriginTerm, RemoteTerm, Term
 
 S = 1_000_000
 NAMES = ("a", "b", "c")
@@ -193,28 +193,28 @@
         return true_us + true_us * ppm // 1_000_000
 
     sent, received = 0, first  # true times
-    guest, home = GuestTerm(TERM, clock(sent, guest_ppm)), HomeTerm(TERM, clock(received, home_ppm))
+    guest, home = RemoteTerm(TERM, clock(sent, guest_ppm)), OriginTerm(TERM, clock(received, home_ppm))
     now = received + write
     for pause, delay, lost in renewals:
         now += pause
         asked = clock(now, guest_ppm)
-        if guest.must_stop(asked) or home.over(clock(now + delay, home_ppm)):
+        if guest.must_stop(asked) or home.has_ended(clock(now + delay, home_ppm)):
             break
-        home.renewed(clock(now + delay, home_ppm))
+        home.apply_renewal(clock(now + delay, home_ppm))
         if not lost:
-            guest.renewed(asked)
+            guest.apply_renewal(asked)
     begin = next(t for t in range(0, 10**10, 10_000) if guest.must_stop(clock(t, guest_ppm)))
     # Noticing, then the workers' lease if nobody can tell them, then the save.
     gone = begin + TERM.step_us + TERM.lease_us + TERM.save_us
-    back = next(t for t in range(0, 10**10, 10_000) if home.over(clock(t, home_ppm)))
+    back = next(t for t in range(0, 10**10, 10_000) if home.has_ended(clock(t, home_ppm)))
     assert gone <= back
 
 
 def test_a_term_too_short_to_run_in_is_told():
-    assert TERM.usable and not msgspec.structs.replace(TERM, term_us=20 * S).usable
-    guest = GuestTerm(TERM, 0)
-    assert not guest.ask(TERM.renew_us - 1) and guest.ask(TERM.renew_us)
-    assert not guest.ask(TERM.renew_us + S) and guest.ask(TERM.renew_us + 2 * S)
+    assert TERM.leaves_time_to_run and not msgspec.structs.replace(TERM, term_us=20 * S).leaves_time_to_run
+    guest = RemoteTerm(TERM, 0)
+    assert not guest.request_renewal(TERM.renew_us - 1) and guest.request_renewal(TERM.renew_us)
+    assert not guest.request_renewal(TERM.renew_us + S) and guest.request_renewal(TERM.renew_us + 2 * S)
 
 
 @given(st.lists(st.tuples(st.integers(1, 40 * S), st.booleans(), st.booleans()), max_size=60))
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -12,7 +12,7 @@
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
 from pearstep.federation.keys import SiteKeyError
-from pearstep.federation.ledger import GuestBook, Need
+from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
 from pearstep.federation.operator_api import Facts
@@ -97,8 +97,8 @@
 
 def test_a_borrowed_job_is_recorded_as_it_was():
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
-    loan = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
-    book = GuestBook(loan, Need(), 0, spec)
+    offload = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
+    book = RemoteRecord(offload, ResourceAmounts(), 0, spec)
     record = writes.borrowed_rec("south", "req-7", book, 1_700_000_000_000_001, 1_700_000_060_000_000)
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
 
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -11,7 +11,7 @@
 from pearstep.archive import members
 from pearstep.archive.members import Here, MemberList
 from pearstep.archive.service import _Standing
-from pearstep.federation.ledger import GuestBook, HomeBook
+from pearstep.federation.ledger import OriginRecord, RemoteRecord
 from pearstep.federation.offload_records import Loans, PeerRec
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
@@ -89,18 +89,18 @@
     "fence_of_leader": (WriteFenceRecord, dict()),
 }
 LOANS = {
-    "loan_home_all": (HomeBook, dict(loan=dict(tasks=16, state="recalling", number=4_294_967_297,
+    "loan_home_all": (OriginRecord, dict(offload=dict(tasks=16, state="recalling", number=4_294_967_297,
         task_mask=10, done_mask=2, rerunnable=True, cancel_requested=True, final_state="cancelled"),
         peer="south", need=dict(cpus=8.0, gpus=1.5, memory_gb=64.25), returned=2, spec=SPEC,
         forced="ana: site is gone", term_us=60_000_000, since_us=1_700_000_000_000_001)),
-    "loan_home_defaults": (HomeBook, dict(loan=dict(tasks=2, state="at home", number=0, task_mask=0,
+    "loan_home_defaults": (OriginRecord, dict(offload=dict(tasks=2, state="at home", number=0, task_mask=0,
         done_mask=0, rerunnable=False, cancel_requested=False, final_state=""), peer="",
         need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), returned=0, spec=None, forced="", term_us=0,
         since_us=0)),
-    "loan_guest_all": (GuestBook, dict(loan=dict(state="holding", number=4_294_967_297, task_mask=10,
+    "loan_guest_all": (RemoteRecord, dict(offload=dict(state="holding", number=4_294_967_297, task_mask=10,
         done_mask=2, rerunnable=True, highest_number=4_294_967_298), need=dict(cpus=8.0, gpus=1.5,
         memory_gb=64.25), since_us=1_700_000_000_000_001, spec=SPEC, term_us=60_000_000)),
-    "loan_guest_defaults": (GuestBook, dict(loan=dict(state="none", number=0, task_mask=0, done_mask=0,
+    "loan_guest_defaults": (RemoteRecord, dict(offload=dict(state="none", number=0, task_mask=0, done_mask=0,
         rerunnable=False, highest_number=0), need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), since_us=0,
         spec=None, term_us=0)),
     "peer_all": (PeerRec, dict(addrs=["10.1.0.1:7101", "10.1.0.2:7101"], lend=False, grant=dict(cpus=32.0,
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -14,9 +14,9 @@
 from pearstep.federation import handoff
 from pearstep.federation.capacity_estimate import Look, give_way, may_go, room, waiting
 from pearstep.federation.carrying import home_key, pieces
-from pearstep.federation.ledger import Books, Entry, GuestBook, HomeBook, Need
+from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_records import Loans, PeerRec
-from pearstep.federation.offload_selection import Grant, Lend
+from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.jobs.description import home_name
@@ -27,7 +27,7 @@
 from tests.world import TYPES, Ledger, spec
 
 S = 1_000_000
-NEED = Need(1.0, 0.0, 1.0)
+NEED = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 class Cluster:
@@ -38,8 +38,10 @@
         self.view = Replica()
         self.changed = []
         self.loans = Loans(self.view, self.changed.append)
-        self.books = Books(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
-        self.books.share(self.loans.home, self.loans.guest, self.loans.open_home, self.loans.open_guest)
+        self.books = OffloadLedger(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
+        self.books.follow_records(
+            self.loans.home, self.loans.guest, self.loans.open_home, self.loans.open_guest
+        )
 
     def write(self, writes):
         if writes is None:
@@ -68,11 +70,11 @@
         return self.view.jobs["req-1"]
 
     def offer(self, job, rows):
-        return self.books.lend(
+        return self.books.offer(
             "req-1",
             job.spec.tasks,
             NEED,
-            Lend("req-1", "kigali", rows),
+            PlannedOffer("req-1", "kigali", rows),
             job.placed_tasks | job.done_tasks,
             False,
             job.spec,
@@ -80,8 +82,8 @@
 
 
 def hear(cluster, kind, **fields):
-    loan = cluster.loans.home["req-1"].loan
-    return cluster.books.act(
+    loan = cluster.loans.home["req-1"].offload
+    return cluster.books.change_origin(
         "req-1", handoff.receive_at_origin(loan, handoff.Message(kind, loan.number, **fields))
     )
 
@@ -120,7 +122,7 @@
         )
         assert granted != cancelled
         assert job.is_final == cancelled
-        assert one.loans.home["req-1"].loan.state == (handoff.GRANTED if granted else handoff.OFFERED)
+        assert one.loans.home["req-1"].offload.state == (handoff.GRANTED if granted else handoff.OFFERED)
 
 
 def test_a_lent_job_that_is_cancelled_ends_with_the_guests_word():
@@ -129,13 +131,13 @@
     assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     # What any node writes when a user cancels: the wish alone.
     book = one.loans.home["req-1"]
-    one.put("l/req-1", msgspec.structs.replace(book, loan=handoff.cancel(book.loan)[0]))
+    one.put("l/req-1", msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0]))
     assert (
         job.state == JobState.QUEUED
         and job.offloaded_tasks == job.spec.all_tasks
         and not job.has_waiting_tasks
     )
-    assert "l/req-1" in one.changed and one.loans.home["req-1"].loan.state == handoff.RECALLING
+    assert "l/req-1" in one.changed and one.loans.home["req-1"].offload.state == handoff.RECALLING
     assert one.home(hear(one, handoff.ENDED, task_mask=0b011, done_mask=0b001))
     assert job.state == JobState.CANCELLED and one.loans.open_home == set()
 
@@ -148,7 +150,7 @@
     one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
     assert one.home(hear(one, handoff.RESULT, task_mask=0b011, done_mask=0b011))
-    assert job.state == JobState.DONE and one.loans.home["req-1"].loan.done_mask == 0b011
+    assert job.state == JobState.DONE and one.loans.home["req-1"].offload.done_mask == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
     assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
@@ -162,7 +164,7 @@
 def test_what_is_borrowed_runs_with_the_numbers_of_home_and_in_no_aim_of_ours():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
-    book = GuestBook(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
+    book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
     rec = borrowed_rec("huye", "req-5", book, 50)
     there.put("j/" + rec.spec.job_id, rec)
     job = there.view.jobs["lent-huye-5-9"]
@@ -185,14 +187,14 @@
     one = spec(job_id="req-5", kind="array", tasks=2)
     for first in ("begin", "stop"):
         there = Cluster()
-        book = GuestBook(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
+        book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
         there.put("g/huye/req-5", book)
         local = "j/" + local_ref("huye", "req-5", 9)
         begin = (
             {local: borrowed_rec("huye", "req-5", book, 5)},
             {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
         )
-        stop = there.books.act_as_guest("huye", "req-5", (handoff.begin_return(book.loan), []))
+        stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
         if first == "begin":
             assert there.write(begin)
             # Decided before the job was there, written after: it withdraws the job as well.
@@ -202,13 +204,13 @@
             there = Cluster()
             there.put("g/huye/req-5", book)
             there.put(local, borrowed_rec("huye", "req-5", book, 5))
-            stop = there.books.act_as_guest("huye", "req-5", (handoff.begin_return(book.loan), []))
-            stop.orderly = True
+            stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
+            stop.graceful = True
             assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
-            held = there.loans.guest["huye", "req-5"].loan
-            gone = there.books.act_as_guest("huye", "req-5", handoff.all_tasks_stopped(held))
+            held = there.loans.guest["huye", "req-5"].offload
+            gone = there.books.change_remote("huye", "req-5", handoff.all_tasks_stopped(held))
             assert there.guest(gone) and job.state == JobState.CANCELLED
         else:
             assert there.guest(stop) and not there.write(begin)
@@ -249,7 +251,11 @@
         job.placed_tasks = (1 << running) - 1
         state = handoff.HOLDING if holding else handoff.STOPPING
         loans.append(
-            (("huye", f"req-{i}"), GuestBook(handoff.RemoteOffload(state, 1, 31), Need(1, 0, 0), since), job)
+            (
+                ("huye", f"req-{i}"),
+                RemoteRecord(handoff.RemoteOffload(state, 1, 31), ResourceAmounts(1, 0, 0), since),
+                job,
+            )
         )
         jobs["huye", f"req-{i}"] = (since, running, holding)
     seen = Look(own=(float(wants), 0.0, 0.0), own_since_us=0 if wants else None)
@@ -393,28 +399,28 @@
 
     def do(self, cluster, write, entry, to):
         if entry is not None and write(entry):
-            self.say(to, [s.message for s in entry.says])
+            self.say(to, [s.message for s in entry.messages])
             return True
         return False
 
     def hear(self, to, message):
         if to == "guest":
-            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(handoff.RemoteOffload())
-            loan, says = handoff.receive_at_remote(book.loan, message, True)
-            if loan == book.loan:
+            book = self.there.loans.guest.get(("huye", "req-1")) or RemoteRecord(handoff.RemoteOffload())
+            loan, says = handoff.receive_at_remote(book.offload, message, True)
+            if loan == book.offload:
                 self.say("home", says)
                 return
             one = self.home.view.jobs["req-1"].spec if loan.state == handoff.RESERVED else book.spec
-            entry = Entry("g/huye/req-1", book, GuestBook(loan, NEED, 0, one), "huye", [])
+            entry = LedgerEntry("g/huye/req-1", book, RemoteRecord(loan, NEED, 0, one), "huye", [])
             if self.there.guest(entry):
                 self.say("home", says)
             return
         book = self.home.loans.home.get("req-1")
         if book is None:
             return
-        loan, says = handoff.receive_at_origin(book.loan, message)
-        if loan == book.loan or self.home.home(
-            Entry("l/req-1", book, msgspec.structs.replace(book, loan=loan), "kigali", [])
+        loan, says = handoff.receive_at_origin(book.offload, message)
+        if loan == book.offload or self.home.home(
+            LedgerEntry("l/req-1", book, msgspec.structs.replace(book, offload=loan), "kigali", [])
         ):
             self.say("guest", says)
 
@@ -422,7 +428,7 @@
         book = self.there.loans.guest.get(("huye", "req-1"))
         if book is None:
             return None, None, None
-        name = local_ref("huye", "req-1", book.loan.number)
+        name = local_ref("huye", "req-1", book.offload.number)
         return book, name, self.there.view.jobs.get(name)
 
     def step(self, what):
@@ -431,12 +437,19 @@
         if what == "offer" and not job.is_final:
             self.do(self.home, self.home.home, self.home.offer(job, 2), "guest")
         elif what == "withdraw" and "req-1" in self.home.loans.open_home:
-            loan = self.home.loans.home["req-1"].loan
-            self.do(self.home, self.home.home, self.home.books.act("req-1", handoff.withdraw(loan)), "guest")
+            loan = self.home.loans.home["req-1"].offload
+            self.do(
+                self.home,
+                self.home.home,
+                self.home.books.change_origin("req-1", handoff.withdraw(loan)),
+                "guest",
+            )
         elif what == "cancel" and not job.is_final:
             mine = self.home.loans.home.get("req-1")
-            if mine is not None and mine.loan.state in (handoff.GRANTED, handoff.RECALLING):
-                self.home.put("l/req-1", msgspec.structs.replace(mine, loan=handoff.cancel(mine.loan)[0]))
+            if mine is not None and mine.offload.state in (handoff.GRANTED, handoff.RECALLING):
+                self.home.put(
+                    "l/req-1", msgspec.structs.replace(mine, offload=handoff.cancel(mine.offload)[0])
+                )
             else:
                 self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.CANCELLED, 2))
                 self.answers.append(JobState.CANCELLED)
@@ -462,14 +475,16 @@
                 self.there.put(f"p/0/{name}/0", PlacementRecord({}, f"{there.done_tasks | 1 << task:x}", 1))
                 if there.all_tasks_done:
                     self.there.put(f"j/{name}", JobRecord(there.spec, 1, JobState.DONE, 2))
-        elif what == "give back" and book is not None and book.loan.state == handoff.HOLDING:
-            entry = self.there.books.act_as_guest("huye", "req-1", (handoff.begin_return(book.loan), []))
+        elif what == "give back" and book is not None and book.offload.state == handoff.HOLDING:
+            entry = self.there.books.change_remote("huye", "req-1", (handoff.begin_return(book.offload), []))
             self.there.guest(entry)
-        elif what == "tend" and book is not None and book.loan.state in (handoff.HOLDING, handoff.STOPPING):
+        elif (
+            what == "tend" and book is not None and book.offload.state in (handoff.HOLDING, handoff.STOPPING)
+        ):
             if (there is not None and there.is_final) or (
-                there is None and book.loan.state == handoff.STOPPING
+                there is None and book.offload.state == handoff.STOPPING
             ):
-                loan, says = book.loan, []
+                loan, says = book.offload, []
                 done = (
                     0
                     if there is None
@@ -482,12 +497,12 @@
                         loan, says = handoff.task_done_at_remote(loan, task)
                 if loan.state == handoff.STOPPING:
                     loan, says = handoff.all_tasks_stopped(loan)
-                entry = self.there.books.act_as_guest("huye", "req-1", (loan, says))
+                entry = self.there.books.change_remote("huye", "req-1", (loan, says))
                 self.do(self.there, self.there.guest, entry, "home")
         elif what == "again":
             mine = self.home.loans.home.get("req-1")
-            self.say("guest", handoff.origin_messages(mine.loan) if mine else [])
-            self.say("home", handoff.remote_messages(book.loan) if book else [])
+            self.say("guest", handoff.origin_messages(mine.offload) if mine else [])
+            self.say("home", handoff.remote_messages(book.offload) if book else [])
 
 
 STEPS = st.sampled_from(
@@ -531,7 +546,7 @@
     if job.state == JobState.DONE:
         assert sorted(tasks) == [0, 1, 2]
     book, _, _ = both.local()
-    assert book is None or book.loan.state == handoff.NO_OFFLOAD
+    assert book is None or book.offload.state == handoff.NO_OFFLOAD
     assert not both.home.loans.open_home
 
 
@@ -575,7 +590,7 @@
     assert one.home(one.offer(job, 2))
     assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
     assert one.home(hear(one, handoff.ACCEPT))
-    assert ask() is None and one.loans.home["req-1"].loan.cancel_requested
+    assert ask() is None and one.loans.home["req-1"].offload.cancel_requested
     stamp = one.view.version_of("l/req-1")
     assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
-    assert isinstance(one.loans.home["req-1"], HomeBook)
+    assert isinstance(one.loans.home["req-1"], OriginRecord)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -13,14 +13,14 @@
 from pearstep.federation import handoff, peer_health
 from pearstep.federation.desk import Desk
 from pearstep.federation.handoff import Message
-from pearstep.federation.ledger import Books, Need, Said
+from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
-from pearstep.federation.offload_selection import Grant, Lend
+from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.peer_health import Patience
 from tests.test_keys import site, trust
 
 S = 1_000_000
-NEED = Need(1.0, 0.0, 1.0)
+NEED = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 def free_addr():
@@ -38,7 +38,7 @@
         host, _, port = addrs[name].rpartition(":")
         self.link.listen(host, int(port))
         self.stamp = 3
-        self.desk = self.open(Books(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
+        self.desk = self.open(OffloadLedger(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
 
     def open(self, books):
         return Desk(
@@ -48,7 +48,7 @@
             Patience(rest_us=0),
             self.commit,
             self.send,
-            lambda peer: Need(100, 0, 100),
+            lambda peer: ResourceAmounts(100, 0, 100),
             lambda: self.world.now,
             lambda: self.world.now,
         )
@@ -67,9 +67,9 @@
 
     def crash(self):
         """Another controller takes the desk over."""
-        home, guest = self.desk.books.home, self.desk.books.guest
+        home, guest = self.desk.books.origin_records, self.desk.books.remote_records
         self.stamp += 1
-        books = Books(self.stamp, {self.other: Grant(100, 0, 100)}, 30 * S)
+        books = OffloadLedger(self.stamp, {self.other: Grant(100, 0, 100)}, 30 * S)
         books.load(home, guest)
         self.desk = self.open(books)
 
@@ -93,9 +93,11 @@
     async def finish(self):
         """The guest does all that it may."""
         books = self.b.desk.books
-        for (peer, job), book in list(books.guest.items()):
-            if book.loan.startable:
-                await self.b.desk.do(books.act_as_guest(peer, job, handoff.task_done_at_remote(book.loan, 0)))
+        for (peer, job), book in list(books.remote_records.items()):
+            if book.offload.startable:
+                await self.b.desk.do(
+                    books.change_remote(peer, job, handoff.task_done_at_remote(book.offload, 0))
+                )
 
 
 def play(scenario, tmp_path):
@@ -108,12 +110,12 @@
 async def lend(world, *refs):
     for ref in refs:
         assert await world.a.desk.do(
-            world.a.desk.books.lend(ref, 1, NEED, Lend(ref, "nyarugenge", 1), 0, False)
+            world.a.desk.books.offer(ref, 1, NEED, PlannedOffer(ref, "nyarugenge", 1), 0, False)
         )
 
 
 def states(world):
-    return {j: b.loan.state for j, b in world.a.desk.books.home.items()}
+    return {j: b.offload.state for j, b in world.a.desk.books.origin_records.items()}
 
 
 def test_loans_go_over_the_link_and_come_to_one_answer(tmp_path):
@@ -123,11 +125,11 @@
         await lend(world, "req-1", "req-2")
         await world.steps(1)
         assert set(states(world).values()) == {handoff.GRANTED}
-        assert [b.loan.state for b in world.b.desk.books.guest.values()] == [handoff.HOLDING] * 2
+        assert [b.offload.state for b in world.b.desk.books.remote_records.values()] == [handoff.HOLDING] * 2
         await world.finish()
         await world.steps(2)
-        assert all(b.loan.final_state == "done" for b in world.a.desk.books.home.values())
-        assert all(b.loan.state == handoff.NO_OFFLOAD for b in world.b.desk.books.guest.values())
+        assert all(b.offload.final_state == "done" for b in world.a.desk.books.origin_records.values())
+        assert all(b.offload.state == handoff.NO_OFFLOAD for b in world.b.desk.books.remote_records.values())
         # Three records written at home for each loan, four at the guest.
         assert (world.a.commits, world.b.commits) == (6, 8)
 
@@ -145,15 +147,20 @@
         assert world.a.desk.peers["nyarugenge"].state == peer_health.CUT
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
         books = world.a.desk.books
-        await world.a.desk.do(books.act("req-3", handoff.cancel(books.home["req-3"].loan)))
-        assert states(world)["req-3"] == handoff.RECALLING and not books.home["req-3"].loan.final_state
+        await world.a.desk.do(
+            books.change_origin("req-3", handoff.cancel(books.origin_records["req-3"].offload))
+        )
+        assert (
+            states(world)["req-3"] == handoff.RECALLING
+            and not books.origin_records["req-3"].offload.final_state
+        )
         world.a.crash()
         world.b.crash()
         world.a.cut = False
         await world.steps(6)
-        home = world.a.desk.books.home
+        home = world.a.desk.books.origin_records
         # The guest had finished all of them before it heard of anything: that is the answer.
-        assert {b.loan.final_state for b in home.values()} == {"done"}
+        assert {b.offload.final_state for b in home.values()} == {"done"}
         assert world.a.desk.peers["nyarugenge"].state == peer_health.UP
 
     play(scenario, tmp_path)
@@ -184,7 +191,7 @@
         )  # nobody's word ends it, and nothing is started at home
         world.a.keys.issue()
         await world.steps(4)
-        assert world.a.desk.books.home["req-1"].loan.final_state == "done"
+        assert world.a.desk.books.origin_records["req-1"].offload.final_state == "done"
 
     play(scenario, tmp_path)
 
@@ -199,10 +206,10 @@
         world.a.desk._commit = refuse
         books = world.a.desk.books
         assert not await world.a.desk.do(
-            books.lend("req-1", 1, NEED, Lend("req-1", "nyarugenge", 1), 0, False)
+            books.offer("req-1", 1, NEED, PlannedOffer("req-1", "nyarugenge", 1), 0, False)
         )
         await world.steps(2)
-        assert not books.home and not world.b.desk.books.guest
+        assert not books.origin_records and not world.b.desk.books.remote_records
 
     play(scenario, tmp_path)
 
@@ -210,7 +217,9 @@
 KINDS = st.sampled_from([handoff.OFFER, handoff.GRANT, handoff.RESULT, "a later kind"])
 ROWS = st.integers(0, 2**40)
 SAID = st.builds(
-    Said, st.text(max_size=10), st.builds(Message, KINDS, st.integers(0, 2**62), ROWS, ROWS, st.booleans())
+    JobMessage,
+    st.text(max_size=10),
+    st.builds(Message, KINDS, st.integers(0, 2**62), ROWS, ROWS, st.booleans()),
 )
 
 
