--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -155,15 +155,18 @@
 
     def _permitted_messages(self) -> Iterator[tuple[str, str, str, list[JobMessage]]]:
         """Yield the messages that each record permits, as kind, peer, job, messages."""
-        for job, record in self._origin_items():
+        for job, origin_record in self._origin_items():
             yield (
                 "l",
-                record.peer,
+                origin_record.peer,
                 job,
-                [self._job_message(job, m, record) for m in handoff.origin_messages(record.offload)],
+                [
+                    self._job_message(job, m, origin_record)
+                    for m in handoff.origin_messages(origin_record.offload)
+                ],
             )
-        for peer, job, record in self._remote_items():
-            yield "g", peer, job, [JobMessage(job, m) for m in handoff.remote_messages(record.offload)]
+        for peer, job, remote_record in self._remote_items():
+            yield "g", peer, job, [JobMessage(job, m) for m in handoff.remote_messages(remote_record.offload)]
 
     def record(self, key: str) -> OriginRecord | RemoteRecord | None:
         """Return the record of a key, or None."""
@@ -262,21 +265,26 @@
         if kind == handoff.RENEWED:
             return self._receive_renewed(peer, job_message)
         if kind in (handoff.OFFER, handoff.GRANT, handoff.RECALL, handoff.CONFIRM):
-            record = self.remote_records.get((peer, job_message.ref)) or RemoteRecord(RemoteOffload())
+            remote_record = self.remote_records.get((peer, job_message.ref)) or RemoteRecord(RemoteOffload())
             fits = kind != handoff.OFFER or (
                 self._fits(peer, job_message, free) and self._leaves_time_to_run(job_message)
             )
-            offload, answers = handoff.receive_at_remote(record.offload, job_message.message, fits)
+            remote_offload, answers = handoff.receive_at_remote(
+                remote_record.offload, job_message.message, fits
+            )
             out = [JobMessage(job_message.ref, m) for m in answers]
-            if offload == record.offload:
+            if remote_offload == remote_record.offload:
                 return out
-            after = msgspec.structs.replace(record, offload=offload)
-            if offload.state == handoff.RESERVED and record.offload.number != offload.number:
+            after = msgspec.structs.replace(remote_record, offload=remote_offload)
+            if (
+                remote_offload.state == handoff.RESERVED
+                and remote_record.offload.number != remote_offload.number
+            ):
                 after = RemoteRecord(
-                    offload, job_message.need, wall_us, job_message.spec, job_message.term_us
+                    remote_offload, job_message.need, wall_us, job_message.spec, job_message.term_us
                 )
-            if offload.state == handoff.NO_OFFLOAD:
-                after = RemoteRecord(offload)  # only the highest number is kept
+            if remote_offload.state == handoff.NO_OFFLOAD:
+                after = RemoteRecord(remote_offload)  # only the highest number is kept
             return self._remote_entry(peer, job_message.ref, after, answers)
         record = self.origin_records.get(job_message.ref) or OriginRecord(
             OriginOffload(0, state=handoff.SETTLED)
