--- a/measurements/federation_overflow.py
+++ b/measurements/federation_overflow.py
@@ -24,7 +24,14 @@
 from measurements.harness import say
 from pearstep.federation import handoff
 from pearstep.federation.handoff import OriginOffload, RemoteOffload
-from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
+from pearstep.federation.offload_selection import (
+    Grant,
+    PeerCapacity,
+    Policy,
+    WaitingJob,
+    capacity_to_offer,
+    choose_offers,
+)
 
 S = 1_000_000
 SLOTS = 100
@@ -110,7 +117,7 @@
             for place, i in enumerate(self.home_queue):
                 end = ends[place] if place < len(ends) else ends[-1] + place * S if ends else 0
                 waiting.append(
-                    Waiting(
+                    WaitingJob(
                         f"req-{i}",
                         "c",
                         "t",
@@ -120,20 +127,20 @@
                         0.1,
                         max(end - self.now, 0),
                         AIM_US,
-                        pivot=place == 0,
+                        is_queue_head=place == 0,
                         returned=self.returns.get(i, 0),
                     )
                 )
             free = SLOTS - self.own_runs - len(self.guest_runs)
             held = sum(loan.state == handoff.RESERVED for loan in self.loans.values())
-            room = offered(
+            room = capacity_to_offer(
                 Grant(SLOTS, 0, 1e9),
                 (free - held, 0, 1e9),
                 (len(self.own_queue), 0, 0),
                 (len(self.guest_runs) + held, 0, 0),
             )
-            peers = [Room("b", room[0], 0, 1e9, 0, LINK_US)]
-            for lend in choose(waiting, peers, Policy(most_under_way=64), self.now):
+            peers = [PeerCapacity("b", room[0], 0, 1e9, 0, LINK_US)]
+            for lend in choose_offers(waiting, peers, Policy(max_open_offers=64), self.now):
                 i = int(lend.ref.removeprefix("req-"))
                 self.home_queue.remove(i)
                 self.number += 1
@@ -222,18 +229,20 @@
     rng = np.random.default_rng(5)
     starts = rng.integers(0, 600 * S, count)
     waiting = [
-        Waiting(f"req-{i}", "c", "t", 1 + i % 7, 2.0, 0, 4.0, int(starts[i]), AIM_US, gang=i % 3 == 0)
+        WaitingJob(f"req-{i}", "c", "t", 1 + i % 7, 2.0, 0, 4.0, int(starts[i]), AIM_US, gang=i % 3 == 0)
         for i in range(count)
     ]
     policy = Policy()
     best = 1e9
     for _ in range(3):
-        rooms = [Room(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)]
+        rooms = [PeerCapacity(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)]
         begun = time.process_time()
-        lent = choose(waiting, rooms, policy, 0)
+        lent = choose_offers(waiting, rooms, policy, 0)
         best = min(best, time.process_time() - begun)
     tracemalloc.start()
-    choose(waiting, [Room(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)], policy, 0)
+    choose_offers(
+        waiting, [PeerCapacity(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)], policy, 0
+    )
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return {
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -215,7 +215,7 @@
         waiting = record.offload.startable & ~running
         task_mask = 0
         for task in range(tasks):
-            if waiting >> task & 1 and task_mask.bit_count() < planned.rows:
+            if waiting >> task & 1 and task_mask.bit_count() < planned.task_count:
                 task_mask |= 1 << task
         self.offload_count += 1
         if self.offload_count >= OFFLOADS_PER_FENCING_TOKEN:
--- a/pearstep/federation/offload_selection.py
+++ b/pearstep/federation/offload_selection.py
@@ -1,9 +1,9 @@
-"""Decides which jobs to offload, and to which peer, without input or output.
+"""Selects the jobs to offload and their peers, without input or output.
 
-A job is offloaded if it would start here later than its service-level objective and sooner at the peer, with
-a margin both ways so that no job goes back and forth. The resources that a peer offers are spent as jobs are
-assigned to it, and only so many offers to one peer are under way at a time, so that a burst doesn't fall on
-the peer that offered first.
+A job is offloaded if it would start here later than its service-level objective and sooner at the peer. A
+margin in both directions keeps a job from moving back and forth. Jobs that are assigned to a peer reduce the
+resources that it offers, and the number of open offers to one peer is limited, so that a burst of jobs is not
+sent to the peer that announced its capacity first.
 """
 
 from __future__ import annotations
@@ -15,33 +15,34 @@
 import xxhash
 
 
-class Waiting(msgspec.Struct, frozen=True):
-    """A job that waits.
+class WaitingJob(msgspec.Struct, frozen=True):
+    """A job that waits for resources.
 
-    ``start_us`` is the time from now until it should start here by the leader's snapshot, ``aim_us`` the time
-    from now within which its class is to start, ``rows`` the number of tasks that wait, each of ``cpus``,
-    ``gpus`` and ``memory_gb``.
+    ``start_us`` is the time from now until its start here, estimated from the leader's snapshot, and
+    ``objective_us`` the time from now within which jobs of its class are to start. ``task_count`` tasks wait,
+    each of which takes ``cpus``, ``gpus`` and ``memory_gb``.
     """
 
     ref: str
     cls: str
     team: str
-    rows: int
+    task_count: int
     cpus: float
     gpus: float
     memory_gb: float
     start_us: int
-    aim_us: int
+    objective_us: int
     gang: bool = False
-    pivot: bool = False
-    borrowed: bool = False
-    returned: int = 0  # how often a loan of it came back
+    is_queue_head: bool = False
+    from_peer: bool = False
+    returned: int = 0  # how often a peer returned it
 
 
-class Room(msgspec.Struct):
+class PeerCapacity(msgspec.Struct):
     """The resources that a peer offers to a team without a quota guarantee.
 
-    ``start_us`` is the time until a job given to it now should start, ``price`` its price relative to ours.
+    ``start_us`` is the expected time until the start of a job that is offloaded to it now, ``price`` its
+    price relative to ours.
     """
 
     peer: str
@@ -49,127 +50,138 @@
     gpus: float
     memory_gb: float
     start_us: int
-    link_us: int
+    link_delay_us: int
     price: float = 1.0
-    under_way: int = 0
+    open_offers: int = 0
     not_before_us: int = 0
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operator allows.
+    """The operator's rules for offloading.
 
-    ``classes`` may be offloaded (if none is named: all but those kept). A start at the peer must be sooner by
-    ``gain`` of the wait here and by ``least_gain_us``; a job that was returned needs as much again for each
-    return, up to ``most_returns``.
+    Jobs of ``classes`` may be offloaded; if none is named, all but ``excluded_classes``. The start at the
+    peer must be sooner by ``min_gain_share`` of the wait here and by ``min_gain_us``. Each return of a job
+    adds the same margin once more, and after ``max_returns`` returns the job is no longer offloaded.
     """
 
     classes: frozenset[str] = frozenset()
-    keep_classes: frozenset[str] = frozenset()
-    keep_teams: frozenset[str] = frozenset()
-    gain: float = 0.25
-    least_gain_us: int = 5_000_000
-    most_price: float = 2.0
-    price_us: int = 30_000_000
-    most_under_way: int = 32
-    most_returns: int = 3
-    most_in_pass: int = 256
+    excluded_classes: frozenset[str] = frozenset()
+    excluded_teams: frozenset[str] = frozenset()
+    min_gain_share: float = 0.25
+    min_gain_us: int = 5_000_000
+    max_price: float = 2.0
+    price_penalty_us: int = 30_000_000
+    max_open_offers: int = 32
+    max_returns: int = 3
+    max_offers_in_pass: int = 256
 
 
 class PlannedOffer(msgspec.Struct, frozen=True):
-    """Offer ``rows`` tasks of a job to a peer."""
+    """The decision to offer ``task_count`` tasks of a job to a peer."""
 
     ref: str
     peer: str
-    rows: int
+    task_count: int
 
 
-def may_leave(job: Waiting, policy: Policy) -> bool:
-    """Whether a job may be lent at all. What is borrowed is never lent on: no loan can go in a circle."""
-    if job.borrowed or job.returned >= policy.most_returns:
+def may_be_offloaded(job: WaitingJob, policy: Policy) -> bool:
+    """Tell whether a job may be offloaded; a peer's job is not, so that no offload goes in a circle."""
+    if job.from_peer or job.returned >= policy.max_returns:
         return False
-    if job.cls in policy.keep_classes or job.team in policy.keep_teams:
+    if job.cls in policy.excluded_classes or job.team in policy.excluded_teams:
         return False
     return not policy.classes or job.cls in policy.classes
 
 
-def fits(job: Waiting, room: Room) -> int:
-    """How many of a job's tasks find room: a gang whole or not at all."""
-    rows = job.rows
-    for need, there in ((job.cpus, room.cpus), (job.gpus, room.gpus), (job.memory_gb, room.memory_gb)):
+def fitting_task_count(job: WaitingJob, capacity: PeerCapacity) -> int:
+    """Return how many tasks of a job fit the offered capacity; for a gang all of them or 0."""
+    task_count = job.task_count
+    for need, offered in (
+        (job.cpus, capacity.cpus),
+        (job.gpus, capacity.gpus),
+        (job.memory_gb, capacity.memory_gb),
+    ):
         if need > 0:
-            rows = min(rows, int(there / need + 1e-9))
-    return 0 if job.gang and rows < job.rows else rows
+            task_count = min(task_count, int(offered / need + 1e-9))
+    return 0 if job.gang and task_count < job.task_count else task_count
 
 
-def cost_us(job: Waiting, room: Room, policy: Policy) -> int:
-    """Return the cost of a peer for a job: the time until its start there, with the price as time.
+def cost_us(job: WaitingJob, capacity: PeerCapacity, policy: Policy) -> int:
+    """Return the cost of a peer for a job: the time until its start there plus the price as a time.
 
-    Peers of nearly equal cost are told apart by the job's id, so that several origin clusters don't choose
-    alike.
+    A hash of the job's id and the peer is added, so that several origin clusters do not choose the same one
+    of peers with nearly equal cost.
     """
-    price = int(max(room.price - 1.0, 0.0) * policy.price_us)
-    spread = xxhash.xxh3_64_intdigest(f"{job.ref}#{room.peer}".encode()) % 1_000_000
-    return room.start_us + 2 * room.link_us + price + spread
+    price = int(max(capacity.price - 1.0, 0.0) * policy.price_penalty_us)
+    spread = xxhash.xxh3_64_intdigest(f"{job.ref}#{capacity.peer}".encode()) % 1_000_000
+    return capacity.start_us + 2 * capacity.link_delay_us + price + spread
 
 
-def worthwhile(job: Waiting, room: Room, policy: Policy) -> bool:
+def starts_sooner(job: WaitingJob, capacity: PeerCapacity, policy: Policy) -> bool:
     """Tell whether the job starts enough sooner at the peer."""
-    there = room.start_us + 2 * room.link_us
-    margin = max(int(job.start_us * policy.gain), policy.least_gain_us) * (1 + job.returned)
-    return job.start_us > job.aim_us and there + margin <= job.start_us
+    there = capacity.start_us + 2 * capacity.link_delay_us
+    margin = max(int(job.start_us * policy.min_gain_share), policy.min_gain_us) * (1 + job.returned)
+    return job.start_us > job.objective_us and there + margin <= job.start_us
 
 
-def choose(
-    waiting: Iterable[Waiting], rooms: Iterable[Room], policy: Policy, now_us: int
+def choose_offers(
+    waiting: Iterable[WaitingJob], capacities: Iterable[PeerCapacity], policy: Policy, now_us: int
 ) -> list[PlannedOffer]:
-    """Return what to offer now, the most overdue jobs first and pivots last.
+    """Return the offers to make now, those of the most overdue jobs first and of heads of queues last.
 
-    The rooms are changed: resources that are assigned in this pass are taken from them.
+    Resources that are assigned in this pass are subtracted from ``capacities``.
     """
-    open_rooms = [
-        r
-        for r in rooms
-        if now_us >= r.not_before_us and r.price <= policy.most_price and r.under_way < policy.most_under_way
+    available = [
+        capacity
+        for capacity in capacities
+        if now_us >= capacity.not_before_us
+        and capacity.price <= policy.max_price
+        and capacity.open_offers < policy.max_open_offers
     ]
-    if not open_rooms:
+    if not available:
         return []
-    soonest = min(r.start_us + 2 * r.link_us for r in open_rooms) + policy.least_gain_us
+    soonest = (
+        min(capacity.start_us + 2 * capacity.link_delay_us for capacity in available) + policy.min_gain_us
+    )
     late = (
         job
         for job in waiting
-        if job.start_us > job.aim_us and job.start_us >= soonest and may_leave(job, policy)
+        if job.start_us > job.objective_us and job.start_us >= soonest and may_be_offloaded(job, policy)
     )
-    # Only so many are offered in a pass: the rest of a hundred thousand need not be put in order.
-    first = heapq.nsmallest(
-        4 * policy.most_in_pass, late, key=lambda job: (job.pivot, job.aim_us - job.start_us, job.ref)
+    # The number of offers in a pass is limited, so the rest of a hundred thousand jobs need not be sorted.
+    most_overdue = heapq.nsmallest(
+        4 * policy.max_offers_in_pass,
+        late,
+        key=lambda job: (job.is_queue_head, job.objective_us - job.start_us, job.ref),
     )
-    out: list[PlannedOffer] = []
-    for job in first:
+    offers: list[PlannedOffer] = []
+    for job in most_overdue:
         best = None
-        for room in open_rooms:
-            if room.under_way >= policy.most_under_way or not worthwhile(job, room, policy):
+        for capacity in available:
+            if capacity.open_offers >= policy.max_open_offers or not starts_sooner(job, capacity, policy):
                 continue
-            rows = fits(job, room)
-            if rows and (best is None or cost_us(job, room, policy) < best[0]):
-                best = (cost_us(job, room, policy), rows, room)
+            task_count = fitting_task_count(job, capacity)
+            if task_count and (best is None or cost_us(job, capacity, policy) < best[0]):
+                best = (cost_us(job, capacity, policy), task_count, capacity)
         if best is None:
             continue
-        _, rows, room = best
-        room.cpus -= rows * job.cpus
-        room.gpus -= rows * job.gpus
-        room.memory_gb -= rows * job.memory_gb
-        room.under_way += 1
-        out.append(PlannedOffer(job.ref, room.peer, rows))
-        if len(out) >= policy.most_in_pass:
+        _, task_count, capacity = best
+        capacity.cpus -= task_count * job.cpus
+        capacity.gpus -= task_count * job.gpus
+        capacity.memory_gb -= task_count * job.memory_gb
+        capacity.open_offers += 1
+        offers.append(PlannedOffer(job.ref, capacity.peer, task_count))
+        if len(offers) >= policy.max_offers_in_pass:
             break
-    return out
+    return offers
 
 
 class Grant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the remote cluster's operator grants a peer.
+    """The resources that the remote cluster's operator grants a peer.
 
-    At most so much of the cluster at a time, and only what its own teams don't wait for. ``spare`` is the
-    share of free resources that stays free, ``rent`` whether machines may be rented for the peer.
+    The peer may use at most these amounts at a time, and only resources that own teams do not wait for.
+    ``spare`` is the share of free resources that stays free, ``rent`` whether machines may be rented for the
+    peer.
     """
 
     cpus: float = 0.0
@@ -179,19 +191,19 @@
     rent: bool = False
 
 
-def offered(
+def capacity_to_offer(
     grant: Grant,
     free: tuple[float, float, float],
     own_waiting: tuple[float, float, float],
-    lent: tuple[float, float, float],
+    used: tuple[float, float, float],
 ) -> tuple[float, float, float]:
     """Return the CPUs, GPUs and GB to offer a peer now.
 
-    What own teams wait for comes first, a share of the free resources stays free for their next jobs, and no
-    more than the grant is used at a time.
+    The demand of own teams is subtracted, a share of the free resources stays free for their next jobs, and
+    the peer uses no more than its grant at a time.
     """
     granted = (grant.cpus, grant.gpus, grant.memory_gb)
     return tuple(  # type: ignore[return-value]
-        max(min(most - out, (there - own) * (1 - grant.spare)), 0.0)
-        for most, there, own, out in zip(granted, free, own_waiting, lent, strict=True)
+        max(min(granted_amount - used_amount, (available - own) * (1 - grant.spare)), 0.0)
+        for granted_amount, available, own, used_amount in zip(granted, free, own_waiting, used, strict=True)
     )
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -19,14 +19,14 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.federation import handoff, peer_health
 from pearstep.federation.capacity_estimate import (
-    Look,
-    add,
-    as_need,
-    give_way,
-    look,
-    room,
-    waiting,
+    CapacityEstimate,
+    add_amounts,
+    capacity_for_peer,
+    estimate_capacity,
+    offloads_to_return,
+    to_resource_amounts,
     waiting_jobs,
+    waiting_with_estimates,
 )
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
@@ -34,7 +34,7 @@
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import Loans
-from pearstep.federation.offload_selection import Grant, Room, choose
+from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
 from pearstep.federation.operator_api import Facts, answer
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
@@ -73,7 +73,7 @@
             rest_us=int(p.rest_s * SECOND_US),
         )
         self.desk: Desk | None = None
-        self.seen = Look()
+        self.seen = CapacityEstimate()
         self._chief: Leadership | None = None
         self._lent_us = -(1 << 60)
         self._offered: dict[str, int] = {}
@@ -243,7 +243,7 @@
         for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
             del self._renewing[loan]
         s = self.settings
-        for peer, ref in give_way(
+        for peer, ref in offloads_to_return(
             self.seen, rows, now_us(), int(s.yield_s * SECOND_US), int(s.idle_s * SECOND_US), wall_us()
         ):
             log.info("giving %s back to %s", ref, peer)
@@ -326,7 +326,7 @@
         s = self.settings
         refs = [job.spec.job_id for job, _ in waiting_jobs(chief.planner)]
         returned = {ref: self.loans.home[ref].returned for ref in refs if ref in self.loans.home}
-        queue = waiting(
+        queue = waiting_with_estimates(
             chief.planner,
             self.node.settings.shard_count,
             self.node.settings.start_objectives,
@@ -337,7 +337,7 @@
             wall_us(),
         )
         entries: list[LedgerEntry] = []
-        for lend in choose(queue, rooms, self.policy, now):
+        for lend in choose_offers(queue, rooms, self.policy, now):
             job = self.view.jobs[lend.ref]
             spec = job.spec
             term_us = int(s.leaving.terms_s.get(spec.job_class, 0.0) * SECOND_US)
@@ -352,11 +352,11 @@
                 term_us,
             )
             if entry is not None:
-                log.info("offering %d tasks of %s to %s", lend.rows, lend.ref, lend.peer)
+                log.info("offering %d tasks of %s to %s", lend.task_count, lend.ref, lend.peer)
                 entries.append(entry)
         await asyncio.gather(*(desk.do(entry) for entry in entries))
 
-    def _rooms(self, desk: Desk, now: int) -> list[Room]:
+    def _rooms(self, desk: Desk, now: int) -> list[PeerCapacity]:
         out = []
         under_way: dict[str, int] = {}
         for ref in self.loans.open_home:
@@ -369,7 +369,7 @@
             if offer is None or rec is None or not rec.lend or now - at > FRESH_US or not peer.lends(now):
                 continue
             out.append(
-                Room(
+                PeerCapacity(
                     name,
                     offer.cpus,
                     offer.gpus,
@@ -385,7 +385,7 @@
     def after_plan(self, chief: Leadership) -> None:
         """After a pass: what is free, and what waits."""
         now = now_us()
-        self.seen = look(chief.planner, self.seen, now)
+        self.seen = estimate_capacity(chief.planner, self.seen, now)
         self.seen.refused = any(until > now for until in chief.autoscaler.refused_until_us.values())
         rents = {f"peer:{name}" for name, rec in self.loans.peers.items() if rec.grant.rent}
 
@@ -402,13 +402,15 @@
         desk = self.desk
         if rec is None or desk is None:
             return (0.0, 0.0, 0.0)
-        return room(rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained)
+        return capacity_for_peer(
+            rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained
+        )
 
     def _free(self, peer: str) -> ResourceAmounts:
         """What the books may reserve for a peer; they subtract themselves what is reserved already."""
         desk = self.desk
         assert desk is not None
-        return as_need(add(self._amounts(peer), desk.books.reserved()))
+        return to_resource_amounts(add_amounts(self._amounts(peer), desk.books.reserved()))
 
     def _offer(self, peer: str) -> Offer | None:
         amounts = self._amounts(peer)
--- a/pearstep/federation/settings.py
+++ b/pearstep/federation/settings.py
@@ -55,8 +55,8 @@
             self.gain,
             int(self.least_gain_s * 1e6),
             self.most_price,
-            most_under_way=self.most_under_way,
-            most_returns=self.most_returns,
+            max_open_offers=self.most_under_way,
+            max_returns=self.most_returns,
         )
 
 
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -9,7 +9,14 @@
 
 from pearstep.federation import handoff, peer_health
 from pearstep.federation.handoff import OriginOffload, RemoteOffload
-from pearstep.federation.offload_selection import Grant, Policy, Room, Waiting, choose, offered
+from pearstep.federation.offload_selection import (
+    Grant,
+    PeerCapacity,
+    Policy,
+    WaitingJob,
+    capacity_to_offer,
+    choose_offers,
+)
 from pearstep.federation.peer_health import Patience, Peer
 from pearstep.federation.terms import OriginTerm, RemoteTerm, Term
 
@@ -256,35 +263,40 @@
     assert peer.state == peer_health.BACK
 
 
-def job(i, start_s, aim_s=10, rows=1, **more):
+def job(i, start_s, aim_s=10, task_count=1, **more):
     base = dict(cls="c", team="t", cpus=2.0, gpus=0.0, memory_gb=4.0)
-    return Waiting(f"req-{i}", rows=rows, start_us=start_s * S, aim_us=aim_s * S, **{**base, **more})
+    return WaitingJob(
+        f"req-{i}", task_count=task_count, start_us=start_s * S, objective_us=aim_s * S, **{**base, **more}
+    )
 
 
 def room(peer="b", cpus=64.0, start_s=0, **more):
-    return Room(peer, cpus, 0.0, 10_000.0, start_s * S, 50_000, **more)
+    return PeerCapacity(peer, cpus, 0.0, 10_000.0, start_s * S, 50_000, **more)
 
 
 def test_only_what_is_late_here_and_sooner_there_is_lent():
-    policy = Policy(keep_classes=frozenset({"own"}), keep_teams=frozenset({"secret"}))
+    policy = Policy(excluded_classes=frozenset({"own"}), excluded_teams=frozenset({"secret"}))
     jobs = [
         job(1, 5),
         job(2, 60),
         job(3, 60, cls="own"),
         job(4, 60, team="secret"),
-        job(5, 60, borrowed=True),
+        job(5, 60, from_peer=True),
         job(6, 60, returned=3),
-        job(7, 90, pivot=True),
-        job(8, 60, gang=True, rows=40),
-        job(9, 30, rows=40),
+        job(7, 90, is_queue_head=True),
+        job(8, 60, gang=True, task_count=40),
+        job(9, 30, task_count=40),
         job(10, 12, aim_s=10),
         job(11, 30, returned=2),
     ]
-    lent = choose(jobs, [room(start_s=8)], policy, 0)
+    lent = choose_offers(jobs, [room(start_s=8)], policy, 0)
     # 7 is a pivot and comes last; 8 is a gang that does not fit; of 9 go as many rows as fit; 10 gains too
     # little; 11 came back twice and needs three times the gain.
-    assert [(x.ref, x.rows) for x in lent] == [("req-2", 1), ("req-9", 31)]
-    assert [x.ref for x in choose(jobs[:2] + jobs[6:7], [room(start_s=8)], policy, 0)] == ["req-2", "req-7"]
+    assert [(x.ref, x.task_count) for x in lent] == [("req-2", 1), ("req-9", 31)]
+    assert [x.ref for x in choose_offers(jobs[:2] + jobs[6:7], [room(start_s=8)], policy, 0)] == [
+        "req-2",
+        "req-7",
+    ]
 
 
 JOBS = st.lists(st.tuples(st.integers(0, 300), st.integers(1, 5), st.booleans()), max_size=60)
@@ -295,32 +307,34 @@
 
 @given(JOBS, ROOMS)
 def test_no_more_is_given_than_a_peer_offers(jobs, rooms):
-    policy = Policy(most_under_way=8)
-    waiting = [job(i, start, rows=rows, gang=gang) for i, (start, rows, gang) in enumerate(jobs)]
+    policy = Policy(max_open_offers=8)
+    waiting = [
+        job(i, start, task_count=task_count, gang=gang) for i, (start, task_count, gang) in enumerate(jobs)
+    ]
     there = [room(f"p{i}", float(cpus), start, price=price) for i, (cpus, start, price) in enumerate(rooms)]
-    lent = choose(waiting, there, policy, 0)
+    lent = choose_offers(waiting, there, policy, 0)
     for i, (cpus, start, price) in enumerate(rooms):
         mine = [x for x in lent if x.peer == f"p{i}"]
-        assert sum(x.rows * 2.0 for x in mine) <= cpus and len(mine) <= 8
-        assert not mine or price <= policy.most_price
+        assert sum(x.task_count * 2.0 for x in mine) <= cpus and len(mine) <= 8
+        assert not mine or price <= policy.max_price
         for x in mine:
             asked = waiting[int(x.ref.removeprefix("req-"))]
-            assert x.rows == asked.rows or not asked.gang
+            assert x.task_count == asked.task_count or not asked.gang
             assert start * S + 5 * S < asked.start_us
     assert len({x.ref for x in lent}) == len(lent)
 
 
 def test_equal_peers_share_a_burst_and_two_homes_do_not_choose_alike():
-    policy = Policy(most_under_way=1000)
+    policy = Policy(max_open_offers=1000)
     burst = [job(i, 100) for i in range(100)]
-    lent = choose(burst, [room("b", 1000.0), room("c", 1000.0)], policy, 0)
+    lent = choose_offers(burst, [room("b", 1000.0), room("c", 1000.0)], policy, 0)
     count = sum(x.peer == "b" for x in lent)
     assert len(lent) == 100 and 30 < count < 70
-    assert choose(burst, [room("b", not_before_us=5)], policy, 4) == []
+    assert choose_offers(burst, [room("b", not_before_us=5)], policy, 4) == []
 
 
 def test_what_own_teams_wait_for_is_not_offered():
     grant = Grant(cpus=100, memory_gb=1000, spare=0.1)
-    assert offered(grant, (50, 4, 500), (20, 0, 100), (0, 0, 0)) == (27.0, 0.0, 360.0)
-    assert offered(grant, (500, 0, 500), (0, 0, 0), (90, 0, 0))[0] == 10
-    assert offered(grant, (10, 0, 10), (20, 0, 0), (0, 0, 0))[0] == 0
+    assert capacity_to_offer(grant, (50, 4, 500), (20, 0, 100), (0, 0, 0)) == (27.0, 0.0, 360.0)
+    assert capacity_to_offer(grant, (500, 0, 500), (0, 0, 0), (90, 0, 0))[0] == 10
+    assert capacity_to_offer(grant, (10, 0, 10), (20, 0, 0), (0, 0, 0))[0] == 0
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,7 +12,13 @@
 from pearstep.domain.job_state import JobState
 from pearstep.domain.team import Team
 from pearstep.federation import handoff
-from pearstep.federation.capacity_estimate import Look, give_way, may_go, room, waiting
+from pearstep.federation.capacity_estimate import (
+    CapacityEstimate,
+    can_run_elsewhere,
+    capacity_for_peer,
+    offloads_to_return,
+    waiting_with_estimates,
+)
 from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_records import Loans, PeerRec
@@ -258,8 +264,8 @@
             )
         )
         jobs["huye", f"req-{i}"] = (since, running, holding)
-    seen = Look(own=(float(wants), 0.0, 0.0), own_since_us=0 if wants else None)
-    out = give_way(seen, loans, waited * S, 5 * S, 10**12, 0)
+    seen = CapacityEstimate(own_demand=(float(wants), 0.0, 0.0), own_waiting_since_us=0 if wants else None)
+    out = offloads_to_return(seen, loans, waited * S, 5 * S, 10**12, 0)
     assert all(jobs[name][2] and jobs[name][1] for name in out)
     freed = sum(jobs[name][1] for name in out)
     there = sum(running for _, running, holding in jobs.values() if holding)
@@ -271,20 +277,20 @@
         assert not out or freed - jobs[out[-1]][1] < wants
         assert [jobs[n][0] for n in out] == sorted((jobs[n][0] for n in out), reverse=True)
     idle = [name for name, (_, running, holding) in jobs.items() if holding and not running]
-    assert sorted(give_way(Look(), loans, 0, 5 * S, 0, 0)) == sorted(idle)
+    assert sorted(offloads_to_return(CapacityEstimate(), loans, 0, 5 * S, 0, 0)) == sorted(idle)
 
 
 def test_what_is_offered_is_idle_and_nobody_waits_for_it():
-    seen = Look(free=(50, 0, 100), own=(20, 0, 0), lent=(10, 0, 0))
+    seen = CapacityEstimate(free=(50, 0, 100), own_demand=(20, 0, 0), peer_demand=(10, 0, 0))
     zero = (0.0, 0.0, 0.0)
     grant = Grant(100, 0, 100, spare=0)
-    assert room(grant, seen, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
-    assert room(grant, seen, zero, zero, True) == zero
+    assert capacity_for_peer(grant, seen, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
+    assert capacity_for_peer(grant, seen, zero, zero, True) == zero
     # What may be rented is offered whether it is there or not, less what is held.
-    idle = Look(free=(0, 0, 0))
-    assert room(Grant(30, 0, 30, rent=True), idle, (10.0, 0.0, 40.0), zero, False) == (20, 0, 0)
+    idle = CapacityEstimate(free=(0, 0, 0))
+    assert capacity_for_peer(Grant(30, 0, 30, rent=True), idle, (10.0, 0.0, 40.0), zero, False) == (20, 0, 0)
     # But not while own work waits: all that there is to rent is rented.
-    assert room(Grant(30, 0, 30, rent=True), seen, zero, zero, False) == zero
+    assert capacity_for_peer(Grant(30, 0, 30, rent=True), seen, zero, zero, False) == zero
 
 
 def world_with(tasks, machines, running):
@@ -330,13 +336,13 @@
     )
     leader = RoutePlanner(1, one.view, TYPES, {"t": Team("t")}, 1, 12, {})
     leader.plan(20 * S, 0, 20 * S)
-    rows = waiting(leader, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
+    rows = waiting_with_estimates(leader, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
     # Both machines are free at 100 s. What is bound to a zone of ours stays, but keeps its turn.
-    assert [(w.ref, w.start_us, w.aim_us, w.rows, w.pivot, w.returned) for w in rows] == [
+    assert [(w.ref, w.start_us, w.objective_us, w.task_count, w.is_queue_head, w.returned) for w in rows] == [
         ("req-1", 80 * S, 10 * S, 2, True, 2)
     ]
-    assert waiting(leader, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
-    assert not may_go(one.view.jobs["req-2"])
+    assert waiting_with_estimates(leader, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
+    assert not can_run_elsewhere(one.view.jobs["req-2"])
 
 
 @given(st.binary(max_size=30), st.lists(st.tuples(st.integers(0, 30), st.integers(1, 5)), max_size=4))
