--- a/measurements/federation_cuts.py
+++ b/measurements/federation_cuts.py
@@ -30,7 +30,7 @@
 from pearstep.client.jobs import ClusterUnreachableError, JobsClient
 from pearstep.federation import handoff
 from pearstep.federation.keys import Keys
-from pearstep.federation.operator_api import FACTS
+from pearstep.federation.operator_api import STATUS_PATH
 from pearstep.jobs.description import Description, Run
 from pearstep.local.layout import load, make, save
 from pearstep.transport.http import Client
@@ -131,7 +131,7 @@
     async def facts(self, site: str) -> dict:
         """What the site's leader says of lending; nothing while there is none."""
         for addr in self.clusters[site].nodes.values():
-            status, data = await self.http.fetch(addr, "GET", FACTS, timeout_s=1.0)
+            status, data = await self.http.fetch(addr, "GET", STATUS_PATH, timeout_s=1.0)
             if status == 200 and (found := msgspec.json.decode(data))["leads"]:
                 return found
         return {"peers": [], "loans": []}
--- a/pearstep/cli/peers.py
+++ b/pearstep/cli/peers.py
@@ -16,9 +16,9 @@
 
 from pearstep.cli.common import AWAY, NO, WRONG, Clients, command, fail, output, show
 from pearstep.federation.keys import NAME
-from pearstep.federation.offload_records import PeerRec
+from pearstep.federation.offload_records import PeerRecord
 from pearstep.federation.offload_selection import Grant
-from pearstep.federation.operator_api import FACTS
+from pearstep.federation.operator_api import STATUS_PATH
 from pearstep.transport.kv_client import CommitOutcome, open_kv_store
 from pearstep.transport.settings_file import Address
 
@@ -29,7 +29,7 @@
         fail("this cluster has no peers: start it with `pearstep up DIR --site NAME`", WRONG)
     found: dict[str, Any] = {}
     for addr in clients.cluster.nodes.values():
-        path = f"{FACTS}?ref={ref}" if ref else FACTS
+        path = f"{STATUS_PATH}?ref={ref}" if ref else STATUS_PATH
         status, data = await clients.http.fetch(addr, "GET", path, timeout_s=3.0)
         if status == 200:
             found = msgspec.json.decode(data)
@@ -67,7 +67,7 @@
         if listing is None:
             fail(f"the state service at {clients.cluster.state} does not answer", AWAY)
         pair = next((p for p in listing[0] if p.key == f"peer/{name}"), None)
-        old = msgspec.json.decode(bytes(pair.value), type=PeerRec) if pair is not None else None
+        old = msgspec.json.decode(bytes(pair.value), type=PeerRecord) if pair is not None else None
         new = to(old)
         if isinstance(new, str):
             fail(new, NO)
@@ -138,10 +138,10 @@
         fail(f"not addresses of the form host:port: {' '.join(addrs)}", WRONG)
     grant = Grant(cpus, gpus, memory_gb, rent=rent)
 
-    def to(old: PeerRec | None) -> PeerRec | str:
+    def to(old: PeerRecord | None) -> PeerRecord | str:
         if old is not None and old.forgotten:
             return f"{name} was forgotten ({old.forgotten}); `pearstep peers remove {name}` first"
-        return PeerRec(list(addrs), lend, grant, price, old is not None and old.drained)
+        return PeerRecord(list(addrs), lend, grant, price, old is not None and old.drained)
 
     await change(root, name, to)
     return 0
@@ -154,7 +154,7 @@
 async def drain(root: Path, name: str, undo: bool) -> int:
     """Nothing new goes to the peer NAME or comes from it; what is there ends in order."""
 
-    def to(old: PeerRec | None) -> PeerRec | str:
+    def to(old: PeerRecord | None) -> PeerRecord | str:
         return f"{name}: no such peer" if old is None else msgspec.structs.replace(old, drained=not undo)
 
     await change(root, name, to)
@@ -176,7 +176,7 @@
         click.confirm(f"If {name} still runs, jobs that it holds will run twice. Go on?", abort=True)
     stamp = f"{why} ({getpass.getuser()}, {time.strftime('%Y-%m-%d %H:%M:%SZ', time.gmtime())})"
 
-    def to(old: PeerRec | None) -> PeerRec | str:
+    def to(old: PeerRecord | None) -> PeerRecord | str:
         return f"{name}: no such peer" if old is None else msgspec.structs.replace(old, forgotten=stamp)
 
     await change(root, name, to)
--- a/pearstep/federation/carrying.py
+++ b/pearstep/federation/carrying.py
@@ -24,7 +24,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.federation import handoff
 from pearstep.federation.link import Link
-from pearstep.federation.offload_records import Loans
+from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.writes import belongs, local_ref, team_of
 from pearstep.jobs.description import DescriptionError, decode, encode
 from pearstep.state.replica import Replica
@@ -70,7 +70,7 @@
         self,
         archives: list[str],
         link: Link,
-        loans: Loans,
+        loans: OffloadRecords,
         view: Replica,
         now_us: Callable[[], int] = clocks.now_us,
     ) -> None:
@@ -118,7 +118,7 @@
     async def _description(self, peer: str, arg: dict[str, str]) -> Answer:
         """The description of a job, while the peer that asks holds its offload."""
         assert self.archive is not None
-        book = self.loans.home.get(arg.get("ref", ""))
+        book = self.loans.origin_records.get(arg.get("ref", ""))
         if (
             book is None
             or book.peer != peer
@@ -173,13 +173,13 @@
         """Copy what lent tasks have written since, of a few loans at a time."""
         if self.archive is None:
             return
-        for ref in self.loans.open_home:
-            book = self.loans.home[ref]
+        for ref in self.loans.open_origin:
+            book = self.loans.origin_records[ref]
             if book.offload.state != handoff.OFFERED:
                 self._watched[ref, book.offload.number] = book.peer
         # After a change of the lead, what ended a moment ago may not be whole.
         for ref, job in self.view.open_jobs.items():
-            lent = self.loans.home.get(ref)
+            lent = self.loans.origin_records.get(ref)
             if lent is not None and lent.peer and lent.offload.number and job.state == JobState.QUEUED:
                 self._watched.setdefault((ref, lent.offload.number), lent.peer)
         todo = [k for k in self._watched if k not in self._whole]
@@ -188,8 +188,8 @@
 
     async def _copy(self, ref: str, number: int) -> None:
         peer = self._watched[ref, number]
-        book = self.loans.home.get(ref)
-        over = book is None or book.offload.number != number or ref not in self.loans.open_home
+        book = self.loans.origin_records.get(ref)
+        over = book is None or book.offload.number != number or ref not in self.loans.open_origin
         try:
             found = msgspec.json.decode(
                 await self._ask(peer, "GET", f"{ATTEMPTS}?ref={ref}&number={number}"), type=Found
--- a/pearstep/federation/offload_records.py
+++ b/pearstep/federation/offload_records.py
@@ -1,8 +1,9 @@
 """The stored records of offloads and peers, which every controller follows.
 
-``l/<job>``        a job of the origin cluster; the leader writes it, and any controller that takes a
-cancellation. ``g/<peer>/<job>`` a job of a peer in the remote cluster; the leader writes it.
-``peer/<name>``    a peer; operators write it.
+- ``l/<job>``: a job in its origin cluster, written by the leader and by a controller that accepts a
+  cancellation of the job.
+- ``g/<peer>/<job>``: a peer's job in the remote cluster, written by the leader.
+- ``peer/<name>``: a peer, written by operators.
 """
 
 from __future__ import annotations
@@ -17,20 +18,20 @@
 from pearstep.state.job import Job
 from pearstep.state.replica import Replica
 
-OPEN_HOME = (handoff.OFFERED, handoff.GRANTED, handoff.RECALLING)
+OPEN_ORIGIN_STATES = (handoff.OFFERED, handoff.GRANTED, handoff.RECALLING)
 
 
-class PeerRec(msgspec.Struct, omit_defaults=True):
+class PeerRecord(msgspec.Struct, omit_defaults=True):
     """A peer as an operator entered it.
 
     Attributes:
         addrs: The addresses of its controllers.
-        lend: Whether our work may be offloaded to it.
-        grant: What its work may take here.
-        price: What its machines cost relative to ours.
-        drained: Whether nothing new goes either way.
-        forgotten: The operator's reason why it will never answer again; what it holds is taken back, and runs
-            twice if the operator is wrong.
+        lend: Whether our jobs may be offloaded to it.
+        grant: The resources that its jobs may use here.
+        price: The price of its machines relative to ours.
+        drained: Whether no new offload is made in either direction.
+        forgotten: The operator's reason why it will never answer again. The work that it holds is taken back;
+            it runs twice if the operator is wrong.
     """
 
     addrs: list[str]
@@ -41,79 +42,81 @@
     forgotten: str = ""
 
 
-_home = msgspec.json.Decoder(OriginRecord)
-_guest = msgspec.json.Decoder(RemoteRecord)
-_peer = msgspec.json.Decoder(PeerRec)
+_origin_decoder = msgspec.json.Decoder(OriginRecord)
+_remote_decoder = msgspec.json.Decoder(RemoteRecord)
+_peer_decoder = msgspec.json.Decoder(PeerRecord)
 
 
-def lent_mask(job: Job, book: OriginRecord) -> int:
+def offloaded_task_mask(job: Job, record: OriginRecord) -> int:
     """Return the mask of tasks that must not be routed here.
 
-    These are the offloaded tasks, and all tasks once a cancellation waits for the answer of a peer.
+    These are the offloaded tasks, or all tasks while a cancellation waits for the answer of a peer.
     """
-    if book.offload.cancel_requested and not job.is_final:
+    if record.offload.cancel_requested and not job.is_final:
         return job.spec.all_tasks
-    return book.offload.task_mask if book.offload.state in OPEN_HOME else 0
+    return record.offload.task_mask if record.offload.state in OPEN_ORIGIN_STATES else 0
 
 
-class Loans:
-    """The records by name, and which of them are open."""
+class OffloadRecords:
+    """The records of offloads and peers by name, and the names of those whose offloads are open."""
 
-    def __init__(self, view: Replica, changed: Callable[[str], None]) -> None:
-        """Register with the replica; ``changed`` is called with each key that changes."""
+    def __init__(self, view: Replica, on_change: Callable[[str], None]) -> None:
+        """Register with the replica; ``on_change`` is called with each key that changes."""
         self.view = view
-        self.home: dict[str, OriginRecord] = {}
-        self.guest: dict[tuple[str, str], RemoteRecord] = {}
-        self.peers: dict[str, PeerRec] = {}
-        self.open_home: set[str] = set()
-        self.open_guest: set[tuple[str, str]] = set()
-        self._changed = changed
-        view.extension_readers.update(l=self._put_home, g=self._put_guest, peer=self._put_peer)
-
-    def _put_home(self, ref: str, stamp: int, raw: bytes | None) -> None:
+        self.origin_records: dict[str, OriginRecord] = {}
+        self.remote_records: dict[tuple[str, str], RemoteRecord] = {}
+        self.peers: dict[str, PeerRecord] = {}
+        self.open_origin: set[str] = set()
+        self.open_remote: set[tuple[str, str]] = set()
+        self._on_change = on_change
+        view.extension_readers.update(
+            l=self._put_origin_record, g=self._put_remote_record, peer=self._put_peer_record
+        )
+
+    def _put_origin_record(self, ref: str, revision: int, raw: bytes | None) -> None:
         if raw is None:
-            self.home.pop(ref, None)
-            self.open_home.discard(ref)
+            self.origin_records.pop(ref, None)
+            self.open_origin.discard(ref)
         else:
-            book = self.home[ref] = _home.decode(raw)
-            if book.offload.state in OPEN_HOME:
-                self.open_home.add(ref)
+            record = self.origin_records[ref] = _origin_decoder.decode(raw)
+            if record.offload.state in OPEN_ORIGIN_STATES:
+                self.open_origin.add(ref)
             else:
-                self.open_home.discard(ref)
-        self.mark(ref)
-        self._changed(f"l/{ref}")
+                self.open_origin.discard(ref)
+        self.mark_offloaded_tasks(ref)
+        self._on_change(f"l/{ref}")
 
-    def mark(self, ref: str) -> None:
-        """Enter in a job which of its tasks are offloaded, and which a peer has done.
+    def mark_offloaded_tasks(self, ref: str) -> None:
+        """Set in a job which of its tasks are offloaded and which a peer has done.
 
-        While keys are listed, the record of an offload may be read before that of its job, so the leader
-        calls this again before each pass.
+        When keys are listed, the record of an offload may be read before that of its job, so the leader calls
+        this again before each scheduling pass.
         """
-        job, book = self.view.jobs.get(ref), self.home.get(ref)
+        job, record = self.view.jobs.get(ref), self.origin_records.get(ref)
         if job is None:
             return
-        if book is None:
+        if record is None:
             job.offloaded_tasks = 0
             return
-        job.done_tasks |= book.offload.done_mask
-        job.offloaded_tasks = lent_mask(job, book)
+        job.done_tasks |= record.offload.done_mask
+        job.offloaded_tasks = offloaded_task_mask(job, record)
 
-    def _put_guest(self, rest: str, stamp: int, raw: bytes | None) -> None:
+    def _put_remote_record(self, rest: str, revision: int, raw: bytes | None) -> None:
         peer, _, ref = rest.partition("/")
         if raw is None:
-            self.guest.pop((peer, ref), None)
-            self.open_guest.discard((peer, ref))
+            self.remote_records.pop((peer, ref), None)
+            self.open_remote.discard((peer, ref))
         else:
-            book = self.guest[peer, ref] = _guest.decode(raw)
-            if book.offload.state == handoff.NO_OFFLOAD:
-                self.open_guest.discard((peer, ref))
+            record = self.remote_records[peer, ref] = _remote_decoder.decode(raw)
+            if record.offload.state == handoff.NO_OFFLOAD:
+                self.open_remote.discard((peer, ref))
             else:
-                self.open_guest.add((peer, ref))
-        self._changed(f"g/{rest}")
+                self.open_remote.add((peer, ref))
+        self._on_change(f"g/{rest}")
 
-    def _put_peer(self, name: str, stamp: int, raw: bytes | None) -> None:
+    def _put_peer_record(self, name: str, revision: int, raw: bytes | None) -> None:
         if raw is None:
             self.peers.pop(name, None)
         else:
-            self.peers[name] = _peer.decode(raw)
-        self._changed(f"peer/{name}")
+            self.peers[name] = _peer_decoder.decode(raw)
+        self._on_change(f"peer/{name}")
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -33,9 +33,9 @@
 from pearstep.federation.keys import Keys
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
-from pearstep.federation.offload_records import Loans
+from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
-from pearstep.federation.operator_api import Facts, answer
+from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.state.job import Job
@@ -81,13 +81,13 @@
         self._tasks = BackgroundTasks(EventLogger(log.name))
         self._renewing: dict[tuple[str, str], int] = {}
         self._listening = False
-        self.facts = Facts()
+        self.facts = FederationMetrics()
 
     def attach(self, controller: Controller) -> None:
         """The node is made."""
         self.node = controller
         self.view = controller.replica
-        self.loans = Loans(controller.replica, self._changed)
+        self.loans = OffloadRecords(controller.replica, self._changed)
         self.link = Link(self.keys, {}, self._hear, self._serve)
         self.carrying = Carrying(self.settings.archives, self.link, self.loans, controller.replica)
 
@@ -118,7 +118,9 @@
                 int(self.settings.margin_s * SECOND_US),
             )
             loans = self.loans
-            books.follow_records(loans.home, loans.guest, loans.open_home, loans.open_guest)
+            books.follow_records(
+                loans.origin_records, loans.remote_records, loans.open_origin, loans.open_remote
+            )
             self._chief = chief
             self._offered.clear()
             self.desk = Desk(
@@ -135,8 +137,8 @@
             )
             log.info(
                 "keeping the desk: %d loans open as home, %d as guest",
-                len(self.loans.open_home),
-                len(self.loans.open_guest),
+                len(self.loans.open_origin),
+                len(self.loans.open_remote),
             )
         assert self.desk is not None
         return self.desk
@@ -191,12 +193,12 @@
         await self._tend_home(desk)
         await self._tend_guest(desk)
         await desk.step()
-        self.facts.follow(desk, self.loans, self.link.refused)
+        self.facts.update(desk, self.loans, self.link.refused)
 
     async def _tend_home(self, desk: Desk) -> None:
         now = now_us()
-        for ref in list(self.loans.open_home):
-            book, job = self.loans.home[ref], self.view.jobs.get(ref)
+        for ref in list(self.loans.open_origin):
+            book, job = self.loans.origin_records[ref], self.view.jobs.get(ref)
             rec = self.loans.peers.get(book.peer)
             since = self._offered.setdefault(ref, now) if book.offload.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
@@ -213,14 +215,14 @@
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
                 await desk.do(desk.books.change_origin(ref, handoff.withdraw(book.offload)))
-        for ref in [r for r in self._offered if r not in self.loans.open_home]:
+        for ref in [r for r in self._offered if r not in self.loans.open_origin]:
             del self._offered[ref]
 
     async def _tend_guest(self, desk: Desk) -> None:
         """What is borrowed: begin it, notice its end, give back what must go."""
         rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
-        for peer, ref in list(self.loans.open_guest):
-            book = self.loans.guest[peer, ref]
+        for peer, ref in list(self.loans.open_remote):
+            book = self.loans.remote_records[peer, ref]
             job = self.view.jobs.get(local_ref(peer, ref, book.offload.number))
             rows.append(((peer, ref), book, job))
             if book.offload.state == handoff.HOLDING and job is None:
@@ -240,7 +242,7 @@
                 await desk.do(desk.books.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload)))
             if book.term_us and book.offload.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
-        for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
+        for loan in [n for n in self._renewing if n not in self.loans.open_remote]:
             del self._renewing[loan]
         s = self.settings
         for peer, ref in offloads_to_return(
@@ -252,7 +254,7 @@
     async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
         entry = desk.books.change_remote(
-            peer, ref, (handoff.begin_return(self.loans.guest[peer, ref].offload), [])
+            peer, ref, (handoff.begin_return(self.loans.remote_records[peer, ref].offload), [])
         )
         if entry is not None:
             entry.graceful = True
@@ -275,7 +277,7 @@
     async def _begin(self, peer: str, ref: str) -> None:
         """Bring what the job runs, then let it be a job here."""
         try:
-            book, chief = self.loans.guest.get((peer, ref)), self._chief
+            book, chief = self.loans.remote_records.get((peer, ref)), self._chief
             if book is None or chief is None:
                 return
             desk = self.desk
@@ -285,7 +287,7 @@
                 return
             # Only while the loan is held: stopping it writes the same record.
             key, job = f"g/{peer}/{ref}", f"j/{rec.spec.job_id}"
-            if self.loans.guest.get((peer, ref)) == book:
+            if self.loans.remote_records.get((peer, ref)) == book:
                 await chief.commit({job: rec}, {key: self.view.version_of(key), job: 0})
         finally:
             self._starting.discard((peer, ref))
@@ -314,8 +316,8 @@
 
         No route is in flight at this moment, so that an offered task can't be routed at the same time.
         """
-        for ref in list(self.loans.open_home):
-            self.loans.mark(ref)
+        for ref in list(self.loans.open_origin):
+            self.loans.mark_offloaded_tasks(ref)
         desk, now = self.desk, now_us()
         if desk is None or chief is not self._chief or now - self._lent_us < self.settings.lend_s * SECOND_US:
             return
@@ -325,7 +327,9 @@
         self._lent_us = now
         s = self.settings
         refs = [job.spec.job_id for job, _ in waiting_jobs(chief.planner)]
-        returned = {ref: self.loans.home[ref].returned for ref in refs if ref in self.loans.home}
+        returned = {
+            ref: self.loans.origin_records[ref].returned for ref in refs if ref in self.loans.origin_records
+        }
         queue = waiting_with_estimates(
             chief.planner,
             self.node.settings.shard_count,
@@ -359,8 +363,8 @@
     def _rooms(self, desk: Desk, now: int) -> list[PeerCapacity]:
         out = []
         under_way: dict[str, int] = {}
-        for ref in self.loans.open_home:
-            book = self.loans.home[ref]
+        for ref in self.loans.open_origin:
+            book = self.loans.origin_records[ref]
             if book.offload.state == handoff.OFFERED:
                 under_way[book.peer] = under_way.get(book.peer, 0) + 1
         for name, peer in desk.peers.items():
@@ -432,7 +436,7 @@
         """
         ref = job.spec.job_id
         key = f"l/{ref}"
-        book = self.loans.home.get(ref)
+        book = self.loans.origin_records.get(ref)
         if book is None or book.offload.state not in (handoff.GRANTED, handoff.RECALLING):
             return {key: self.view.version_of(key)}
         if not book.offload.cancel_requested:
@@ -465,4 +469,4 @@
     def handle(self, request: HTTPServerRequest) -> Answer | None:
         """Questions of operators."""
         known: dict[str, Any] = {"site": self.site, "node": self.node.node}
-        return answer(request, known, self.desk, self.loans, self.facts)
+        return answer_request(request, known, self.desk, self.loans, self.facts)
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -16,7 +16,7 @@
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import handoff
 from pearstep.federation.ledger import LedgerEntry, OriginRecord, RemoteRecord
-from pearstep.federation.offload_records import OPEN_HOME
+from pearstep.federation.offload_records import OPEN_ORIGIN_STATES
 from pearstep.leader.route_plan import RoutePlan
 from pearstep.state.job import Job
 from pearstep.state.records import JobRecord
@@ -97,7 +97,7 @@
         route_puts, route_conditions = _unroute(job, loan.task_mask)
         puts |= route_puts
         conditions |= route_conditions
-    if job.state == JobState.QUEUED and loan.state not in OPEN_HOME:
+    if job.state == JobState.QUEUED and loan.state not in OPEN_ORIGIN_STATES:
         final_state = _final_state(job, loan)
         if final_state is not None:
             puts[f"j/{ref}"] = JobRecord(job.spec, job.submitted_at_us, final_state, wall_us)
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -13,7 +13,7 @@
 from pearstep.federation.handoff import OriginOffload
 from pearstep.federation.ledger import OriginRecord, ResourceAmounts
 from pearstep.federation.link import Link
-from pearstep.federation.offload_records import Loans
+from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.writes import local_ref, team_of
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
@@ -34,7 +34,7 @@
     def __init__(self, root, name, other, addrs, keys):
         self.site = Site(root / f"{name}-archive", 1)
         self.view = Replica()
-        self.loans = Loans(self.view, lambda key: None)
+        self.loans = OffloadRecords(self.view, lambda key: None)
 
         async def nobody(peer, envelope):
             raise AssertionError("nothing is said here")
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -14,8 +14,8 @@
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
-from pearstep.federation.offload_records import Loans
-from pearstep.federation.operator_api import Facts
+from pearstep.federation.offload_records import OffloadRecords
+from pearstep.federation.operator_api import FederationMetrics
 from pearstep.federation.peer_health import Patience
 from pearstep.state.replica import Replica
 from tests.golden import files
@@ -86,8 +86,8 @@
         "team": writes.team_of("south"),
         "certificate": keys.server_name("south"),
         "loans": link.LOANS,
-        "facts": operator_api.FACTS,
-        "metrics": operator_api.METRICS,
+        "facts": operator_api.STATUS_PATH,
+        "metrics": operator_api.METRICS_PATH,
         "description": carrying.DESCRIPTION,
         "attempts": carrying.ATTEMPTS,
         "read": carrying.READ,
@@ -116,7 +116,7 @@
 
 def loans():
     view = Replica()
-    out = Loans(view, lambda key: None)
+    out = OffloadRecords(view, lambda key: None)
     for stamp, (key, name) in enumerate(RECORDS.items(), 1):
         assert view.put(key, stamp, files.read(f"state/{name}.json"), 0)
     return out
@@ -139,14 +139,16 @@
 @pytest.mark.parametrize("name", FACTS)
 def test_operators_are_told_as_they_were(name):
     ref, leads = FACTS[name]
-    request = SimpleNamespace(path=operator_api.FACTS, arguments={"ref": [ref.encode()]})
-    status, body, _ = operator_api.answer(request, {"site": "here"}, desk() if leads else None, loans(), None)
+    request = SimpleNamespace(path=operator_api.STATUS_PATH, arguments={"ref": [ref.encode()]})
+    status, body, _ = operator_api.answer_request(
+        request, {"site": "here"}, desk() if leads else None, loans(), None
+    )
     assert (status, body) == (200, files.read(f"federation/{name}.json"))
 
 
 def test_metrics_have_the_names_that_they_had():
-    told = Facts()
-    told.follow(desk(), loans(), 3)
+    told = FederationMetrics()
+    told.update(desk(), loans(), 3)
     names = sorted(
         line.split(" ")[0]
         for line in generate_latest(told.registry).decode().splitlines()
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -119,9 +119,9 @@
     "history_required": (history_settings, dict(rest_s=60.0, keep=2_000, batch=1_000, share=0.1,
         kept_blocks=16, most_waiting=32, step_s=0.25)),
 }
-POLICY = dict(classes=["batch", "train"], keep_classes=["service"], keep_teams=["vision"], gain=0.3,
-    least_gain_us=5_500_000, most_price=2.5, price_us=30_000_000, most_under_way=33, most_returns=4,
-    most_in_pass=256)
+POLICY = dict(classes=["batch", "train"], excluded_classes=["service"], excluded_teams=["vision"],
+    min_gain_share=0.3, min_gain_us=5_500_000, max_price=2.5, price_penalty_us=30_000_000,
+    max_open_offers=33, max_returns=4, max_offers_in_pass=256)
 # fmt: on
 RULES = [("batch", 43_200_000_000), ("train", 2_592_000_000_000), ("", 34_560_000_000_000)]
 NODES = {
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -12,7 +12,7 @@
 from pearstep.archive.members import Here, MemberList
 from pearstep.archive.service import _Standing
 from pearstep.federation.ledger import OriginRecord, RemoteRecord
-from pearstep.federation.offload_records import Loans, PeerRec
+from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
 from pearstep.history.blocks import Final, pack, unpack
@@ -103,10 +103,10 @@
     "loan_guest_defaults": (RemoteRecord, dict(offload=dict(state="none", number=0, task_mask=0, done_mask=0,
         rerunnable=False, highest_number=0), need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), since_us=0,
         spec=None, term_us=0)),
-    "peer_all": (PeerRec, dict(addrs=["10.1.0.1:7101", "10.1.0.2:7101"], lend=False, grant=dict(cpus=32.0,
+    "peer_all": (PeerRecord, dict(addrs=["10.1.0.1:7101", "10.1.0.2:7101"], lend=False, grant=dict(cpus=32.0,
         gpus=2.0, memory_gb=128.0, spare=0.25, rent=True), price=1.5, drained=True,
         forgotten="ana: site is gone")),
-    "peer_defaults": (PeerRec, dict(addrs=["10.2.0.1:7101"], lend=True, grant=dict(cpus=0.0, gpus=0.0,
+    "peer_defaults": (PeerRecord, dict(addrs=["10.2.0.1:7101"], lend=True, grant=dict(cpus=0.0, gpus=0.0,
         memory_gb=0.0, spare=0.1, rent=False), price=1.0, drained=False, forgotten="")),
 }
 HISTORY = {
@@ -174,7 +174,7 @@
 def view_of(names):
     """A view that has read these files under their keys; the stamp is the place in the order."""
     view = Replica()
-    loans = Loans(view, lambda key: None)
+    loans = OffloadRecords(view, lambda key: None)
     for stamp, name in enumerate(names, 1):
         assert view.put(KEYS[name], stamp, stored(name), 0)
     assert not view.unreadable
@@ -201,10 +201,10 @@
         1,
     )
     assert files.fields(view.layout) == {"zones": []}
-    assert sorted(loans.home) == ["req-000412", "req-7"]
-    assert sorted(loans.guest) == [("south", "req-000412"), ("south", "req-7")]
+    assert sorted(loans.origin_records) == ["req-000412", "req-7"]
+    assert sorted(loans.remote_records) == [("south", "req-000412"), ("south", "req-7")]
     assert sorted(loans.peers) == ["north", "south"]
-    assert (loans.open_home, loans.open_guest) == ({"req-000412"}, {("south", "req-000412")})
+    assert (loans.open_origin, loans.open_remote) == ({"req-000412"}, {("south", "req-000412")})
 
 
 def test_the_view_forgets_each_kind_under_its_key():
@@ -216,7 +216,9 @@
     assert not (wide.routes or plain.routes or wide.placements or plain.placements)
     assert not (view.machines or view.drains or view.instance_requests or view.shard_holders)
     assert view.leader is None and view.layout is None
-    assert not (loans.home or loans.guest or loans.peers or loans.open_home or loans.open_guest)
+    assert not (
+        loans.origin_records or loans.remote_records or loans.peers or loans.open_origin or loans.open_remote
+    )
     for key in ("j/req-000412", "j/req-7"):
         assert view.delete(key, 1000)
     assert not view.jobs and not view.versions
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -21,7 +21,7 @@
 )
 from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
-from pearstep.federation.offload_records import Loans, PeerRec
+from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
@@ -43,10 +43,13 @@
         self.ledger = Ledger()
         self.view = Replica()
         self.changed = []
-        self.loans = Loans(self.view, self.changed.append)
+        self.loans = OffloadRecords(self.view, self.changed.append)
         self.books = OffloadLedger(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
         self.books.follow_records(
-            self.loans.home, self.loans.guest, self.loans.open_home, self.loans.open_guest
+            self.loans.origin_records,
+            self.loans.remote_records,
+            self.loans.open_origin,
+            self.loans.open_remote,
         )
 
     def write(self, writes):
@@ -88,7 +91,7 @@
 
 
 def hear(cluster, kind, **fields):
-    loan = cluster.loans.home["req-1"].offload
+    loan = cluster.loans.origin_records["req-1"].offload
     return cluster.books.change_origin(
         "req-1", handoff.receive_at_origin(loan, handoff.Message(kind, loan.number, **fields))
     )
@@ -128,7 +131,9 @@
         )
         assert granted != cancelled
         assert job.is_final == cancelled
-        assert one.loans.home["req-1"].offload.state == (handoff.GRANTED if granted else handoff.OFFERED)
+        assert one.loans.origin_records["req-1"].offload.state == (
+            handoff.GRANTED if granted else handoff.OFFERED
+        )
 
 
 def test_a_lent_job_that_is_cancelled_ends_with_the_guests_word():
@@ -136,16 +141,16 @@
     job = one.job(kind="array", tasks=3)
     assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     # What any node writes when a user cancels: the wish alone.
-    book = one.loans.home["req-1"]
+    book = one.loans.origin_records["req-1"]
     one.put("l/req-1", msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0]))
     assert (
         job.state == JobState.QUEUED
         and job.offloaded_tasks == job.spec.all_tasks
         and not job.has_waiting_tasks
     )
-    assert "l/req-1" in one.changed and one.loans.home["req-1"].offload.state == handoff.RECALLING
+    assert "l/req-1" in one.changed and one.loans.origin_records["req-1"].offload.state == handoff.RECALLING
     assert one.home(hear(one, handoff.ENDED, task_mask=0b011, done_mask=0b001))
-    assert job.state == JobState.CANCELLED and one.loans.open_home == set()
+    assert job.state == JobState.CANCELLED and one.loans.open_origin == set()
 
 
 def test_the_last_result_ends_the_job_wherever_it_comes_from():
@@ -156,7 +161,7 @@
     one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
     assert one.home(hear(one, handoff.RESULT, task_mask=0b011, done_mask=0b011))
-    assert job.state == JobState.DONE and one.loans.home["req-1"].offload.done_mask == 0b011
+    assert job.state == JobState.DONE and one.loans.origin_records["req-1"].offload.done_mask == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
     assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
@@ -215,7 +220,7 @@
             assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
-            held = there.loans.guest["huye", "req-5"].offload
+            held = there.loans.remote_records["huye", "req-5"].offload
             gone = there.books.change_remote("huye", "req-5", handoff.all_tasks_stopped(held))
             assert there.guest(gone) and job.state == JobState.CANCELLED
         else:
@@ -228,14 +233,14 @@
     job = one.job(kind="array", tasks=2)
     assert one.home(one.offer(job, 2))
     late = Replica()
-    loans = Loans(late, lambda key: None)
+    loans = OffloadRecords(late, lambda key: None)
     for key in ("l/req-1", "j/req-1"):
         stamp, raw = next((s, raw) for s, k, raw in reversed(one.ledger.log) if k == key)
         late.put(key, stamp, raw, 0)
-    loans.mark("req-1")
+    loans.mark_offloaded_tasks("req-1")
     assert late.jobs["req-1"].offloaded_tasks == 0b11
     late.delete("l/req-1", one.ledger.revision + 1)
-    assert late.jobs["req-1"].offloaded_tasks == 0 and not loans.open_home
+    assert late.jobs["req-1"].offloaded_tasks == 0 and not loans.open_origin
 
 
 def test_a_node_without_lending_says_so_when_there_are_loans():
@@ -376,7 +381,7 @@
 def test_settings_are_checked(tmp_path):
     file = tmp_path / "f.yaml"
     file.write_text("keys: k\nbinds: {node-0: 127.0.0.1:1}\nleaving: {keep_teams: [a], least_gain_s: 2}\n")
-    assert load(str(file)).leaving.policy().least_gain_us == 2 * S
+    assert load(str(file)).leaving.policy().min_gain_us == 2 * S
     for text, why in (
         ("keys: k\nbinds: {}\n", "names no controller"),
         ("keys: k\nbinds: {a: x}\n", "binds"),
@@ -411,7 +416,9 @@
 
     def hear(self, to, message):
         if to == "guest":
-            book = self.there.loans.guest.get(("huye", "req-1")) or RemoteRecord(handoff.RemoteOffload())
+            book = self.there.loans.remote_records.get(("huye", "req-1")) or RemoteRecord(
+                handoff.RemoteOffload()
+            )
             loan, says = handoff.receive_at_remote(book.offload, message, True)
             if loan == book.offload:
                 self.say("home", says)
@@ -421,7 +428,7 @@
             if self.there.guest(entry):
                 self.say("home", says)
             return
-        book = self.home.loans.home.get("req-1")
+        book = self.home.loans.origin_records.get("req-1")
         if book is None:
             return
         loan, says = handoff.receive_at_origin(book.offload, message)
@@ -431,7 +438,7 @@
             self.say("guest", says)
 
     def local(self):
-        book = self.there.loans.guest.get(("huye", "req-1"))
+        book = self.there.loans.remote_records.get(("huye", "req-1"))
         if book is None:
             return None, None, None
         name = local_ref("huye", "req-1", book.offload.number)
@@ -442,8 +449,8 @@
         book, name, there = self.local()
         if what == "offer" and not job.is_final:
             self.do(self.home, self.home.home, self.home.offer(job, 2), "guest")
-        elif what == "withdraw" and "req-1" in self.home.loans.open_home:
-            loan = self.home.loans.home["req-1"].offload
+        elif what == "withdraw" and "req-1" in self.home.loans.open_origin:
+            loan = self.home.loans.origin_records["req-1"].offload
             self.do(
                 self.home,
                 self.home.home,
@@ -451,7 +458,7 @@
                 "guest",
             )
         elif what == "cancel" and not job.is_final:
-            mine = self.home.loans.home.get("req-1")
+            mine = self.home.loans.origin_records.get("req-1")
             if mine is not None and mine.offload.state in (handoff.GRANTED, handoff.RECALLING):
                 self.home.put(
                     "l/req-1", msgspec.structs.replace(mine, offload=handoff.cancel(mine.offload)[0])
@@ -506,7 +513,7 @@
                 entry = self.there.books.change_remote("huye", "req-1", (loan, says))
                 self.do(self.there, self.there.guest, entry, "home")
         elif what == "again":
-            mine = self.home.loans.home.get("req-1")
+            mine = self.home.loans.origin_records.get("req-1")
             self.say("guest", handoff.origin_messages(mine.offload) if mine else [])
             self.say("home", handoff.remote_messages(book.offload) if book else [])
 
@@ -541,7 +548,7 @@
         said, both.wire = both.wire, []
         for to, message in said:
             both.hear(to, message)
-        if "req-1" in both.home.loans.open_home and job.is_final:
+        if "req-1" in both.home.loans.open_origin and job.is_final:
             both.step("withdraw")
         if job.state != states[-1]:
             states.append(job.state)
@@ -553,12 +560,12 @@
         assert sorted(tasks) == [0, 1, 2]
     book, _, _ = both.local()
     assert book is None or book.offload.state == handoff.NO_OFFLOAD
-    assert not both.home.loans.open_home
+    assert not both.home.loans.open_origin
 
 
 def test_records_of_peers_are_read_as_written():
     one = Cluster()
-    one.put("peer/huye", PeerRec(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
+    one.put("peer/huye", PeerRecord(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
     assert one.loans.peers["huye"].grant.rent
     one.view.delete("peer/huye", one.ledger.revision + 1)
     assert one.loans.peers == {}
@@ -596,7 +603,7 @@
     assert one.home(one.offer(job, 2))
     assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
     assert one.home(hear(one, handoff.ACCEPT))
-    assert ask() is None and one.loans.home["req-1"].offload.cancel_requested
+    assert ask() is None and one.loans.origin_records["req-1"].offload.cancel_requested
     stamp = one.view.version_of("l/req-1")
     assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
-    assert isinstance(one.loans.home["req-1"], OriginRecord)
+    assert isinstance(one.loans.origin_records["req-1"], OriginRecord)
