--- a/pearstep/federation/desk.py
+++ b/pearstep/federation/desk.py
@@ -12,7 +12,7 @@
 
 from pearstep.federation.ledger import JobMessage, LedgerEntry, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import VERSION, Envelope, Offer
-from pearstep.federation.peer_health import BACK, Patience, Peer
+from pearstep.federation.peer_health import RECONCILING, HealthTimeouts, PeerHealth
 
 log = logging.getLogger("pearstep.federation")
 
@@ -31,7 +31,7 @@
         site: str,
         books: OffloadLedger,
         peers: list[str],
-        patience: Patience,
+        patience: HealthTimeouts,
         commit: Commit,
         send: Send,
         free: Callable[[str], ResourceAmounts],
@@ -57,7 +57,7 @@
         """
         self.site = site
         self.books = books
-        self.peers = {name: Peer(name, patience, now_us()) for name in peers}
+        self.peers = {name: PeerHealth(name, patience, now_us()) for name in peers}
         self._commit, self._send, self._free = commit, send, free
         self._now_us, self._wall_us = now_us, wall_us
         self._changed = changed
@@ -111,11 +111,11 @@
         if envelope.offer is not None:
             self.offers[peer] = (envelope.offer, self._now_us())
         before = one.state
-        one.heard(self._now_us())
-        if one.state == BACK and before != BACK:
+        one.answer_received(self._now_us())
+        if one.state == RECONCILING and before != RECONCILING:
             self.books.reset_backoffs(peer)
-        if envelope.whole and one.state == BACK:
-            one.agree(self._now_us())
+        if envelope.whole and one.state == RECONCILING:
+            one.records_agreed(self._now_us())
         if one.state != before:
             log.info("peer %s: %s -> %s", peer, before, one.state)
 
@@ -135,7 +135,7 @@
         now = self._now_us()
         for peer in self.peers.values():
             before = peer.state
-            peer.tick(now)
+            peer.check_silence(now)
             if peer.state != before:
                 log.info("peer %s: %s -> %s", peer.name, before, peer.state)
         for entry in self.books.expired_reservations(self._wall_us()):
--- a/pearstep/federation/handoff.py
+++ b/pearstep/federation/handoff.py
@@ -32,7 +32,7 @@
 RECALLING = "recalling"
 SETTLED = "settled"  # the job has its final answer
 
-ORIGIN_STATES = TransitionTable(
+ORIGIN_TRANSITIONS = TransitionTable(
     "loan at home",
     {
         AT_ORIGIN: (OFFERED, SETTLED),
@@ -50,7 +50,7 @@
 RETURNED = "given back"  # nothing runs; not confirmed by the origin
 FINISHED = "finished"  # all tasks are done; not confirmed by the origin
 
-REMOTE_STATES = TransitionTable(
+REMOTE_TRANSITIONS = TransitionTable(
     "loan at the guest",
     {
         NO_OFFLOAD: (RESERVED,),
@@ -118,7 +118,7 @@
 
     Attributes:
         tasks: The number of tasks of the job.
-        state: A state of ``ORIGIN_STATES``.
+        state: A state of ``ORIGIN_TRANSITIONS``.
         number: The number of this offload, or of the last one.
         task_mask: The mask of the offloaded tasks.
         done_mask: The mask of tasks that are done in either cluster.
@@ -185,7 +185,7 @@
 
 def _with_origin_state(offload: OriginOffload, to: str, **fields: object) -> OriginOffload:
     """Return an origin record in another state; every change of its state but the final one is made here."""
-    ORIGIN_STATES.check(offload.state, to)
+    ORIGIN_TRANSITIONS.check(offload.state, to)
     return _settle(msgspec.structs.replace(offload, state=to, **fields))
 
 
@@ -202,7 +202,7 @@
 
 def _with_remote_state(offload: RemoteOffload, to: str, **fields: object) -> RemoteOffload:
     """Return a remote record in another state; every change of its state is made here."""
-    REMOTE_STATES.check(offload.state, to)
+    REMOTE_TRANSITIONS.check(offload.state, to)
     return msgspec.structs.replace(offload, state=to, **fields)
 
 
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -18,7 +18,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.handoff import Message, OriginOffload, RemoteOffload
 from pearstep.federation.offload_selection import Grant, PlannedOffer
-from pearstep.federation.peer_health import Peer
+from pearstep.federation.peer_health import PeerHealth
 from pearstep.federation.terms import OriginTerm, Term
 
 FIRST_BACKOFF_US, LONGEST_BACKOFF_US = 1_000_000, 30_000_000
@@ -453,7 +453,7 @@
         pause = self._retries.get(key, (0, FIRST_BACKOFF_US // 2))[1] * 2
         self._retries[key] = (now_us + pause, min(pause, LONGEST_BACKOFF_US // 2))
 
-    def due_messages(self, peers: dict[str, Peer], now_us: int) -> dict[str, list[JobMessage]]:
+    def due_messages(self, peers: dict[str, PeerHealth], now_us: int) -> dict[str, list[JobMessage]]:
         """Return the messages to send again by peer, and about as many as fit an envelope.
 
         An unanswered message is sent again after a backoff that doubles. A peer that came back receives the
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -23,9 +23,9 @@
     peer_health.NEW,
     peer_health.UP,
     peer_health.SUSPECT,
-    peer_health.CUT,
+    peer_health.UNREACHABLE,
     peer_health.GONE,
-    peer_health.BACK,
+    peer_health.RECONCILING,
     peer_health.DRAINED,
 )
 
--- a/pearstep/federation/peer_health.py
+++ b/pearstep/federation/peer_health.py
@@ -1,7 +1,7 @@
-"""The health of a peer cluster: whether it can be reached, and for how long not; without input or output.
+"""The health of a peer cluster, by the time since its last answer; without input or output.
 
-Health decides what is offered, never what is true of an offload: a peer that counts as gone still holds what
-it was granted until it says otherwise.
+Health decides only whether offers are made, never the state of an offload: a peer that counts as gone still
+holds what it was granted until it reports otherwise.
 """
 
 from __future__ import annotations
@@ -10,116 +10,132 @@
 
 from pearstep.domain.state_machine import TransitionTable
 
-NEW = "new"  # never heard from
+NEW = "new"  # no answer was received yet
 UP = "up"
 SUSPECT = "suspect"  # an answer is overdue: nothing new is offered
-CUT = "cut"  # silent for longer; offloaded work goes on, terms run
-GONE = "gone"  # silent for so long that an operator is asked
-BACK = "back"  # heard from again: both sides agree on every offload before it is up
-DRAINED = "drained"  # by an operator: nothing is offered or taken
+UNREACHABLE = "cut"  # silent for longer; offloaded work continues and its terms run
+GONE = "gone"  # silent for so long that an operator has to decide
+RECONCILING = "back"  # answers again; both sides exchange the state of every offload before it is up
+DRAINED = "drained"  # drained by an operator: no offer is made or accepted
 
-# A link that was up for so many times the longest backoff counts as stable.
-STABLE_BACKOFFS = 4
+# A link counts as stable once it was up for longer than so many times the longest backoff.
+STABLE_LINK_BACKOFFS = 4
 
-PEER = TransitionTable(
+PEER_TRANSITIONS = TransitionTable(
     "peer",
     {
-        NEW: (BACK, DRAINED),
+        NEW: (RECONCILING, DRAINED),
         UP: (SUSPECT, DRAINED),
-        SUSPECT: (UP, CUT, DRAINED),
-        CUT: (BACK, GONE, DRAINED),
-        GONE: (BACK, DRAINED),
-        BACK: (UP, CUT, DRAINED),
-        DRAINED: (BACK,),
+        SUSPECT: (UP, UNREACHABLE, DRAINED),
+        UNREACHABLE: (RECONCILING, GONE, DRAINED),
+        GONE: (RECONCILING, DRAINED),
+        RECONCILING: (UP, UNREACHABLE, DRAINED),
+        DRAINED: (RECONCILING,),
     },
 )
 
 
-class Patience(msgspec.Struct, frozen=True):
-    """The limits for the health of a peer.
+class HealthTimeouts(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "unreachable_us": "cut_us",
+        "required_answers": "answers",
+        "backoff_us": "rest_us",
+        "max_backoff_us": "longest_rest_us",
+    },
+):
+    """The limits that decide the state of a peer.
 
     Attributes:
         suspect_us: The silence after which a peer is suspect.
-        cut_us: The silence after which it counts as cut off.
-        gone_us: The silence after which it counts as gone.
-        answers: How many answers a peer that came back must give before it is up.
-        rest_us: The first backoff after a peer was cut off, during which nothing is offered to it.
-        longest_rest_us: The longest backoff.
+        unreachable_us: The silence after which it is unreachable.
+        gone_us: The silence after which it is gone.
+        required_answers: The number of answers that a peer must give again before it is up.
+        backoff_us: The first backoff after a peer became unreachable, during which it receives no offers.
+        max_backoff_us: The longest backoff.
     """
 
     suspect_us: int = 3_000_000
-    cut_us: int = 15_000_000
+    unreachable_us: int = 15_000_000
     gone_us: int = 3_600_000_000
-    answers: int = 3
-    rest_us: int = 5_000_000
-    longest_rest_us: int = 600_000_000
+    required_answers: int = 3
+    backoff_us: int = 5_000_000
+    max_backoff_us: int = 600_000_000
 
 
-class Peer:
+class PeerHealth:
     """The health of one peer.
 
-    Its state changes in ``heard``, ``agree`` and ``tick``, and in an operator's ``drain`` and ``resume``.
+    Its state changes in ``answer_received``, ``records_agreed`` and ``check_silence``, and in an operator's
+    ``drain`` and ``resume``.
     """
 
-    def __init__(self, name: str, patience: Patience, now_us: int) -> None:
-        """Begin with a peer that was never heard from."""
+    def __init__(self, name: str, timeouts: HealthTimeouts, now_us: int) -> None:
+        """Begin with a peer that has not answered yet."""
         self.name = name
-        self.patience = patience
+        self.timeouts = timeouts
         self.state = NEW
-        self.heard_us = now_us
+        self.last_answer_us = now_us
         self.answers = 0
-        self.rest_us = patience.rest_us
+        self.backoff_us = timeouts.backoff_us
         self.up_since_us = now_us
-        self.not_before_us = 0
-        self.agreed = False
-
-    def heard(self, now_us: int) -> None:
-        """Take in an answer; a late one counts like any other."""
-        self.heard_us = now_us
-        if self.state in (NEW, CUT, GONE):
-            self.answers, self.agreed = 0, False
-            PEER.transition(self, BACK)
+        self.no_offers_before_us = 0
+        self.have_records_agreed = False
+
+    def answer_received(self, now_us: int) -> None:
+        """Record an answer, also one that arrives late."""
+        self.last_answer_us = now_us
+        if self.state in (NEW, UNREACHABLE, GONE):
+            self.answers, self.have_records_agreed = 0, False
+            PEER_TRANSITIONS.transition(self, RECONCILING)
         elif self.state == SUSPECT:
-            PEER.transition(self, UP)
+            PEER_TRANSITIONS.transition(self, UP)
         self.answers += 1
-        self._rise(now_us)
-
-    def agree(self, now_us: int) -> None:
-        """Take in that both sides have told each other of every offload since the peer is back."""
-        self.agreed = True
-        self._rise(now_us)
-
-    def _rise(self, now_us: int) -> None:
-        """Count a peer that is back as up once it has answered often enough and both sides agree."""
-        if self.state == BACK and self.agreed and self.answers >= self.patience.answers:
+        self._mark_up_if_ready(now_us)
+
+    def records_agreed(self, now_us: int) -> None:
+        """Record that both sides have exchanged the state of every offload since the peer answers again."""
+        self.have_records_agreed = True
+        self._mark_up_if_ready(now_us)
+
+    def _mark_up_if_ready(self, now_us: int) -> None:
+        """Set a reconciling peer to up once it has answered often enough and the records agree."""
+        if (
+            self.state == RECONCILING
+            and self.have_records_agreed
+            and self.answers >= self.timeouts.required_answers
+        ):
             self.up_since_us = now_us
-            PEER.transition(self, UP)
-
-    def tick(self, now_us: int) -> None:
-        """Change the state by how long the peer has been silent."""
-        silent_us = now_us - self.heard_us
-        if self.state == UP and silent_us >= self.patience.suspect_us:
-            PEER.transition(self, SUSPECT)
-        if self.state in (SUSPECT, BACK) and silent_us >= self.patience.cut_us:
-            # An unstable link costs each time: the backoff doubles unless the link has been stable.
-            was_stable = now_us - self.up_since_us > STABLE_BACKOFFS * self.patience.longest_rest_us
-            self.rest_us = (
-                self.patience.rest_us if was_stable else min(2 * self.rest_us, self.patience.longest_rest_us)
+            PEER_TRANSITIONS.transition(self, UP)
+
+    def check_silence(self, now_us: int) -> None:
+        """Change the state by the time since the last answer."""
+        silent_us = now_us - self.last_answer_us
+        if self.state == UP and silent_us >= self.timeouts.suspect_us:
+            PEER_TRANSITIONS.transition(self, SUSPECT)
+        if self.state in (SUSPECT, RECONCILING) and silent_us >= self.timeouts.unreachable_us:
+            # The backoff doubles each time, unless the link was stable before.
+            was_stable = now_us - self.up_since_us > STABLE_LINK_BACKOFFS * self.timeouts.max_backoff_us
+            self.backoff_us = (
+                self.timeouts.backoff_us
+                if was_stable
+                else min(2 * self.backoff_us, self.timeouts.max_backoff_us)
             )
-            self.not_before_us = now_us + self.rest_us
-            PEER.transition(self, CUT)
-        if self.state == CUT and silent_us >= self.patience.gone_us:
-            PEER.transition(self, GONE)
+            self.no_offers_before_us = now_us + self.backoff_us
+            PEER_TRANSITIONS.transition(self, UNREACHABLE)
+        if self.state == UNREACHABLE and silent_us >= self.timeouts.gone_us:
+            PEER_TRANSITIONS.transition(self, GONE)
 
     def drain(self) -> None:
-        """Offer and take nothing new from now on."""
-        PEER.transition(self, DRAINED)
+        """Stop making and accepting offers."""
+        PEER_TRANSITIONS.transition(self, DRAINED)
 
     def resume(self) -> None:
-        """End a drain; both sides must agree again."""
-        self.answers, self.agreed = 0, False
-        PEER.transition(self, BACK)
+        """End a drain; the records of both sides must agree again first."""
+        self.answers, self.have_records_agreed = 0, False
+        PEER_TRANSITIONS.transition(self, RECONCILING)
 
-    def lends(self, now_us: int) -> bool:
-        """Tell whether something new may be offered to the peer."""
-        return self.state == UP and now_us >= self.not_before_us
+    def accepts_offers(self, now_us: int) -> bool:
+        """Tell whether offers may be made to the peer now."""
+        return self.state == UP and now_us >= self.no_offers_before_us
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -66,11 +66,11 @@
         self.site = self.keys.site
         self.policy = s.leaving.policy()
         p = s.patience
-        self.patience = peer_health.Patience(
+        self.patience = peer_health.HealthTimeouts(
             int(p.suspect_s * SECOND_US),
             int(p.cut_s * SECOND_US),
             int(p.gone_s * SECOND_US),
-            rest_us=int(p.rest_s * SECOND_US),
+            backoff_us=int(p.rest_s * SECOND_US),
         )
         self.desk: Desk | None = None
         self.seen = CapacityEstimate()
@@ -155,7 +155,7 @@
         for name, rec in known.items():
             peer = desk.peers.get(name)
             if peer is None:
-                peer = desk.peers[name] = peer_health.Peer(name, self.patience, now)
+                peer = desk.peers[name] = peer_health.PeerHealth(name, self.patience, now)
             if rec.drained and peer.state != peer_health.DRAINED:
                 peer.drain()
             elif not rec.drained and peer.state == peer_health.DRAINED:
@@ -370,7 +370,13 @@
         for name, peer in desk.peers.items():
             offer, at = desk.offers.get(name, (None, 0))
             rec = self.loans.peers.get(name)
-            if offer is None or rec is None or not rec.lend or now - at > FRESH_US or not peer.lends(now):
+            if (
+                offer is None
+                or rec is None
+                or not rec.lend
+                or now - at > FRESH_US
+                or not peer.accepts_offers(now)
+            ):
                 continue
             out.append(
                 PeerCapacity(
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -17,7 +17,7 @@
     ResourceAmounts,
 )
 from pearstep.federation.offload_selection import Grant, PlannedOffer
-from pearstep.federation.peer_health import Patience, Peer
+from pearstep.federation.peer_health import HealthTimeouts, PeerHealth
 
 S = 1_000_000
 NEED = ResourceAmounts(2.0, 0.0, 1.0)
@@ -30,7 +30,7 @@
     def __init__(self, name, other, rng):
         self.name, self.other, self.rng = name, other, rng
         self.books = OffloadLedger(7, {other: Grant(cpus=20, memory_gb=100)}, 30 * S)
-        self.peers = {other: Peer(other, Patience(), 0)}
+        self.peers = {other: PeerHealth(other, HealthTimeouts(), 0)}
         self.stamp = 7
         self.out = []
         self.messages = 0
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -17,7 +17,7 @@
     capacity_to_offer,
     choose_offers,
 )
-from pearstep.federation.peer_health import Patience, Peer
+from pearstep.federation.peer_health import HealthTimeouts, PeerHealth
 from pearstep.federation.terms import OriginTerm, RemoteTerm, Term
 
 S = 1_000_000
@@ -226,41 +226,45 @@
 
 @given(st.lists(st.tuples(st.integers(1, 40 * S), st.booleans(), st.booleans()), max_size=60))
 def test_a_peer_that_came_back_lends_only_after_both_agree(events):
-    peer, now, last = Peer("b", Patience(), 0), 0, 0
+    peer, now, last = PeerHealth("b", HealthTimeouts(), 0), 0, 0
     for pause, heard, agree in events:
         now += pause
-        peer.tick(now)
+        peer.check_silence(now)
         if heard:
-            peer.heard(now)
+            peer.answer_received(now)
             last = now
-        if agree and peer.state == peer_health.BACK:
-            peer.agree(now)
-        peer.tick(now)
-        if peer.lends(now):
-            assert peer.agreed and now - last < Patience().suspect_us and now >= peer.not_before_us
-    before = peer.rest_us
-    assert before <= Patience().longest_rest_us
+        if agree and peer.state == peer_health.RECONCILING:
+            peer.records_agreed(now)
+        peer.check_silence(now)
+        if peer.accepts_offers(now):
+            assert (
+                peer.have_records_agreed
+                and now - last < HealthTimeouts().suspect_us
+                and now >= peer.no_offers_before_us
+            )
+    before = peer.backoff_us
+    assert before <= HealthTimeouts().max_backoff_us
 
 
 def test_a_link_that_comes_and_goes_rests_longer_each_time():
-    peer, now, rests = Peer("b", Patience(), 0), 0, []
+    peer, now, rests = PeerHealth("b", HealthTimeouts(), 0), 0, []
     for _ in range(6):
         for _ in range(3):
-            peer.heard(now)
-        peer.agree(now)
+            peer.answer_received(now)
+        peer.records_agreed(now)
         assert peer.state == peer_health.UP
         now += 20 * S
-        peer.tick(now)
-        assert peer.state == peer_health.CUT
-        rests.append(peer.not_before_us - now)
+        peer.check_silence(now)
+        assert peer.state == peer_health.UNREACHABLE
+        rests.append(peer.no_offers_before_us - now)
     assert rests == sorted(set(rests))
-    peer.tick(now + 2 * 3600 * S)
+    peer.check_silence(now + 2 * 3600 * S)
     assert peer.state == peer_health.GONE
     peer.drain()
-    peer.heard(now)
-    assert peer.state == peer_health.DRAINED and not peer.lends(now)
+    peer.answer_received(now)
+    assert peer.state == peer_health.DRAINED and not peer.accepts_offers(now)
     peer.resume()
-    assert peer.state == peer_health.BACK
+    assert peer.state == peer_health.RECONCILING
 
 
 def job(i, start_s, aim_s=10, task_count=1, **more):
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -16,7 +16,7 @@
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.operator_api import FederationMetrics
-from pearstep.federation.peer_health import Patience
+from pearstep.federation.peer_health import HealthTimeouts
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
@@ -123,7 +123,7 @@
 
 
 def desk():
-    out = Desk("here", None, ["south", "north"], Patience(), None, None, None, lambda: 0, lambda: 0)
+    out = Desk("here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0)
     out.offers["north"] = (Offer(32.0, 2.0, 128.5, 5_000_000, 1.5), 0)
     return out
 
--- a/tests/test_handoff_model.py
+++ b/tests/test_handoff_model.py
@@ -154,9 +154,9 @@
                 todo.append(before)
     stuck = [w for w in seen if w not in reach]
     assert not stuck, stuck[0]
-    assert {w.home.state for w in seen} == set(handoff.ORIGIN_STATES.transitions) and {
+    assert {w.home.state for w in seen} == set(handoff.ORIGIN_TRANSITIONS.transitions) and {
         w.guest.state for w in seen
-    } == set(handoff.REMOTE_STATES.transitions)
+    } == set(handoff.REMOTE_TRANSITIONS.transitions)
     with capsys.disabled():
         print(f" [handoff, {tasks} tasks, {loans} loans, repeats={rerunnable}: {len(seen)} states]", end="")
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -16,7 +16,7 @@
 from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
 from pearstep.federation.offload_selection import Grant, PlannedOffer
-from pearstep.federation.peer_health import Patience
+from pearstep.federation.peer_health import HealthTimeouts
 from tests.test_keys import site, trust
 
 S = 1_000_000
@@ -45,7 +45,7 @@
             self.name,
             books,
             [self.other],
-            Patience(rest_us=0),
+            HealthTimeouts(backoff_us=0),
             self.commit,
             self.send,
             lambda peer: ResourceAmounts(100, 0, 100),
@@ -144,7 +144,7 @@
         world.a.cut = True
         await world.finish()
         await world.steps(17)
-        assert world.a.desk.peers["nyarugenge"].state == peer_health.CUT
+        assert world.a.desk.peers["nyarugenge"].state == peer_health.UNREACHABLE
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
         books = world.a.desk.books
         await world.a.desk.do(
@@ -182,10 +182,10 @@
         trust(world.b.keys, world.a.keys)
         await world.finish()
         refused = world.b.link.refused
-        heard = world.b.desk.peers["huye"].heard_us
+        heard = world.b.desk.peers["huye"].last_answer_us
         world.now += S
         await world.a.desk.step()
-        assert world.b.link.refused > refused and world.b.desk.peers["huye"].heard_us == heard
+        assert world.b.link.refused > refused and world.b.desk.peers["huye"].last_answer_us == heard
         assert (
             states(world)["req-1"] == handoff.GRANTED
         )  # nobody's word ends it, and nothing is started at home
