--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -1,4 +1,4 @@
-"""What clusters say to each other when they lend, and what operators are told of it."""
+"""Golden files of the messages between clusters and of the answers to operators about offloads."""
 
 import asyncio
 from types import SimpleNamespace
@@ -32,7 +32,7 @@
 }
 # fmt: on
 KINDS = ["offer", "accept", "refuse", "grant", "recall", "over", "result", "confirm", "renew", "renewed"]
-OTHERS = {
+OTHER_FILES = {
     "envelope_kinds.bin",
     "names.json",
     "facts.json",
@@ -45,13 +45,13 @@
 EXCHANGES = files.table("federation/exchanges.json")
 
 
-def test_every_file_of_the_area_is_looked_at():
-    names = {f"{name}.bin" for name in ENVELOPES} | OTHERS
+def test_every_golden_file_has_a_test():
+    names = {f"{name}.bin" for name in ENVELOPES} | OTHER_FILES
     assert files.names("federation") == {f"federation/{name}" for name in names}
 
 
 @pytest.mark.parametrize("name", ENVELOPES)
-def test_an_envelope_has_these_fields_and_is_written_as_it_was(name):
+def test_envelopes_decode_and_encode_as_recorded(name):
     _, values = ENVELOPES[name]
     body = files.read(f"federation/{name}.bin")
     envelope = link.decode(body)
@@ -59,12 +59,14 @@
     assert link.encode(envelope) == body
 
 
-def test_each_kind_of_message_is_read_and_written_as_it_was():
+def test_each_kind_of_message_decodes_and_encodes_as_recorded():
     body = files.read("federation/envelope_kinds.bin")
     envelope = link.decode(body)
-    said = [(one.ref, one.message.kind, one.message.number, one.message.version) for one in envelope.items]
-    assert said == [("req-7", kind, 7, 1) for kind in KINDS]
-    mine = [
+    message_values = [
+        (item.ref, item.message.kind, item.message.number, item.message.version) for item in envelope.items
+    ]
+    assert message_values == [("req-7", kind, 7, 1) for kind in KINDS]
+    kinds = [
         handoff.OFFER,
         handoff.ACCEPT,
         handoff.REFUSE,
@@ -76,11 +78,11 @@
         handoff.RENEW,
         handoff.RENEWED,
     ]
-    assert mine == KINDS
+    assert kinds == KINDS
     assert link.encode(envelope) == body
 
 
-def test_names_are_built_as_they_were():
+def test_names_are_as_recorded():
     assert files.table("federation/names.json") == {
         "borrowed job": writes.local_ref("south", "req-7", 4_294_967_297),
         "team": writes.team_of("south"),
@@ -95,11 +97,13 @@
     }
 
 
-def test_a_borrowed_job_is_recorded_as_it_was():
+def test_the_record_of_a_peers_job_is_as_recorded():
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
     offload = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
-    book = RemoteRecord(offload, ResourceAmounts(), 0, spec)
-    record = writes.borrowed_rec("south", "req-7", book, 1_700_000_000_000_001, 1_700_000_060_000_000)
+    remote_record = RemoteRecord(offload, ResourceAmounts(), 0, spec)
+    record = writes.borrowed_rec(
+        "south", "req-7", remote_record, 1_700_000_000_000_001, 1_700_000_060_000_000
+    )
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
 
 
@@ -114,21 +118,21 @@
 }
 
 
-def loans():
-    view = Replica()
-    out = OffloadRecords(view, lambda key: None)
-    for stamp, (key, name) in enumerate(RECORDS.items(), 1):
-        assert view.put(key, stamp, files.read(f"state/{name}.json"), 0)
+def make_records():
+    replica = Replica()
+    out = OffloadRecords(replica, lambda key: None)
+    for revision, (key, name) in enumerate(RECORDS.items(), 1):
+        assert replica.put(key, revision, files.read(f"state/{name}.json"), 0)
     return out
 
 
-def desk():
+def make_desk():
     out = Desk("here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0)
     out.offers["north"] = (Offer(32.0, 2.0, 128.5, 5_000_000, 1.5), 0)
     return out
 
 
-FACTS = {
+STATUS_CASES = {
     "facts": ("", True),
     "facts_not_leading": ("", False),
     "fact_of_a_loan": ("req-000412", True),
@@ -136,47 +140,47 @@
 }
 
 
-@pytest.mark.parametrize("name", FACTS)
-def test_operators_are_told_as_they_were(name):
-    ref, leads = FACTS[name]
+@pytest.mark.parametrize("name", STATUS_CASES)
+def test_answers_to_operators_are_as_recorded(name):
+    ref, leads = STATUS_CASES[name]
     request = SimpleNamespace(path=operator_api.STATUS_PATH, arguments={"ref": [ref.encode()]})
     status, body, _ = operator_api.answer_request(
-        request, {"site": "here"}, desk() if leads else None, loans(), None
+        request, {"site": "here"}, make_desk() if leads else None, make_records(), None
     )
     assert (status, body) == (200, files.read(f"federation/{name}.json"))
 
 
-def test_metrics_have_the_names_that_they_had():
-    told = FederationMetrics()
-    told.update(desk(), loans(), 3)
+def test_names_of_metrics_are_as_recorded():
+    metrics = FederationMetrics()
+    metrics.update(make_desk(), make_records(), 3)
     names = sorted(
         line.split(" ")[0]
-        for line in generate_latest(told.registry).decode().splitlines()
+        for line in generate_latest(metrics.registry).decode().splitlines()
         if not line.startswith("#")
     )
     assert names == files.table("federation/metrics.json")
 
 
-def a_link(peer, hear):
-    """This site's end; ``peer``: whose certificate it is, None: a revoked one."""
+def make_link(peer, is_coordinator):
+    """This site's end of a link; the certificate is that of ``peer``, or a revoked one if it is None."""
 
     def peer_of(certificate):
         if peer is None:
             raise SiteKeyError("this certificate was revoked")
         return peer
 
-    async def heard(name, envelope):
-        if not hear:
+    async def receive(name, envelope):
+        if not is_coordinator:
             raise NotCoordinatorError
         return link.decode(files.read("federation/envelope_defaults.bin"))
 
     out = Link.__new__(Link)
     out.keys, out.refused, out.peers = SimpleNamespace(peer_of=peer_of), 0, {"south": ["10.1.0.1:7101"]}
-    out._serve, out._hear = Carrying([], None, loans(), None).serve, heard
+    out._serve, out._hear = Carrying([], None, make_records(), None).serve, receive
     return out
 
 
-SITUATIONS = {
+EXCHANGE_CASES = {
     "envelope": ("south", True),
     "no certificate": ("south", True),
     "revoked": (None, True),
@@ -188,8 +192,8 @@
 }
 
 
-@pytest.mark.parametrize("name", SITUATIONS)
-def test_a_peer_is_answered_as_it_was(name):
+@pytest.mark.parametrize("name", EXCHANGE_CASES)
+def test_answers_to_peers_are_as_recorded(name):
     golden = EXCHANGES[name]
     certificate = None if name == "no certificate" else b"certificate"
     body = files.read(golden["file"]) if golden["file"] else golden["body"].encode()
@@ -200,5 +204,5 @@
         arguments={},
         get_ssl_certificate=lambda binary_form: certificate,
     )
-    status, answer, headers = asyncio.run(a_link(*SITUATIONS[name]).handle(request))
+    status, answer, headers = asyncio.run(make_link(*EXCHANGE_CASES[name]).handle(request))
     assert (status, answer.hex(), headers) == (golden["status"], golden["answer_hex"], golden["headers"])
