--- a/pearstep/federation/offload_records.py
+++ b/pearstep/federation/offload_records.py
@@ -60,16 +60,16 @@
 class OffloadRecords:
     """The records of offloads and peers by name, and the names of those whose offloads are open."""
 
-    def __init__(self, view: Replica, on_change: Callable[[str], None]) -> None:
+    def __init__(self, replica: Replica, on_change: Callable[[str], None]) -> None:
         """Register with the replica; ``on_change`` is called with each key that changes."""
-        self.view = view
+        self.replica = replica
         self.origin_records: dict[str, OriginRecord] = {}
         self.remote_records: dict[tuple[str, str], RemoteRecord] = {}
         self.peers: dict[str, PeerRecord] = {}
         self.open_origin: set[str] = set()
         self.open_remote: set[tuple[str, str]] = set()
         self._on_change = on_change
-        view.extension_readers.update(
+        replica.extension_readers.update(
             l=self._put_origin_record, g=self._put_remote_record, peer=self._put_peer_record
         )
 
@@ -92,7 +92,7 @@
         When keys are listed, the record of an offload may be read before that of its job, so the leader calls
         this again before each scheduling pass.
         """
-        job, record = self.view.jobs.get(ref), self.origin_records.get(ref)
+        job, record = self.replica.jobs.get(ref), self.origin_records.get(ref)
         if job is None:
             return
         if record is None:
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -49,14 +49,14 @@
 
     def update(self, desk: Desk, records: OffloadRecords, refused: int) -> None:
         """Set the metrics to the current state."""
-        home = Counter(records.origin_records[ref].peer for ref in records.open_origin)
-        guest = Counter(peer for peer, _ in records.open_remote)
+        count_to_peer = Counter(records.origin_records[ref].peer for ref in records.open_origin)
+        count_from_peer = Counter(peer for peer, _ in records.open_remote)
         for name, peer in desk.peers.items():
             self.peer_up.labels(name).set(peer.state == peer_health.UP)
             for state in PEER_STATES:
                 self.peer_state.labels(name, state).set(peer.state == state)
-            self.offloads_to_peer.labels(name).set(home[name])
-            self.offloads_from_peer.labels(name).set(guest[name])
+            self.offloads_to_peer.labels(name).set(count_to_peer[name])
+            self.offloads_from_peer.labels(name).set(count_from_peer[name])
             self.offered_cpus.labels(name).set(desk.offers[name][0].cpus if name in desk.offers else 0)
         self.refused.set(refused)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -202,10 +202,10 @@
 )
 def test_remote_has_stopped_before_origin_takes_the_work_back(clock_drift, delays, renewals, actions):
     sites = TwoSites(clock_drift)
-    entry = sites.origin.ledger.offer(
+    offer_entry = sites.origin.ledger.offer(
         "req-1", 1, TASK_AMOUNTS, PlannedOffer("req-1", "kigali", 1), 0, True, sites.job, TERM_US
     )
-    sites.commit(sites.origin, entry)
+    sites.commit(sites.origin, offer_entry)
     # Each message of the handoff is late: the origin receives the acceptance long after the term of the
     # remote cluster has begun.
     for delay in delays:
@@ -259,10 +259,10 @@
 
 def test_renewed_terms_continue():
     sites = TwoSites(0.0)
-    entry = sites.origin.ledger.offer(
+    offer_entry = sites.origin.ledger.offer(
         "req-1", 1, TASK_AMOUNTS, PlannedOffer("req-1", "kigali", 1), 0, True, sites.job, TERM_US
     )
-    sites.commit(sites.origin, entry)
+    sites.commit(sites.origin, offer_entry)
     for _ in range(4):
         sites.deliver(len(sites.channel) - 1)
     assert sites.remote_record().offload.state == handoff.HOLDING
