--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -57,11 +57,11 @@
 
 def waiting_jobs(leader: RoutePlanner) -> list[tuple[Job, int]]:
     """Return the jobs with tasks that were not placed in the last pass, and the number of these tasks."""
-    found: dict[str, tuple[Job, int]] = {}
+    waiting: dict[str, tuple[Job, int]] = {}
     for job, count in [*leader.unplaced, *leader.without_machine]:
-        before = found.get(job.spec.job_id, (job, 0))[1]
-        found[job.spec.job_id] = (job, before + count)
-    return list(found.values())
+        before = waiting.get(job.spec.job_id, (job, 0))[1]
+        waiting[job.spec.job_id] = (job, before + count)
+    return list(waiting.values())
 
 
 def estimate_capacity(leader: RoutePlanner, before: CapacityEstimate, now_us: int) -> CapacityEstimate:
@@ -128,9 +128,9 @@
     candidates = ClusterSnapshot(
         leader.snapshot_machines(), range(shard_count), leader.replica.machine_reservations
     ).candidates(leader.replica, wall_us)
-    found: list[WaitingJob] = []
+    waiting: list[WaitingJob] = []
     latest = wall_us
-    first = True
+    is_queue_head = True
     for job, _ in waiting_jobs(leader):
         spec = job.spec
         task_count = (spec.all_tasks & ~job.done_tasks & ~job.placed_tasks & ~job.offloaded_tasks).bit_count()
@@ -139,7 +139,7 @@
         run_us = max(spec.estimate_us, 1_000_000)
         start_us = (
             reserve_earliest(spec, task_count, candidates, wall_us, run_us)
-            if len(found) < MAX_START_ESTIMATES
+            if len(waiting) < MAX_START_ESTIMATES
             else None
         )
         if start_us is None:
@@ -149,7 +149,7 @@
         waited_us = wall_us - job.submitted_at_us
         if can_run_elsewhere(job) and waited_us >= wait_us:
             objective_us = objectives.get(spec.job_class, (default_objective_us,))[0]
-            found.append(
+            waiting.append(
                 WaitingJob(
                     spec.job_id,
                     spec.job_class,
@@ -161,13 +161,13 @@
                     max(start_us - wall_us, 0),
                     max(objective_us - waited_us, 0),
                     spec.kind == "gang",
-                    first,
+                    is_queue_head,
                     borrowed(spec),
                     returned.get(spec.job_id, 0),
                 )
             )
-        first = False
-    return found
+        is_queue_head = False
+    return waiting
 
 
 def capacity_for_peer(
--- a/pearstep/federation/ledger.py
+++ b/pearstep/federation/ledger.py
@@ -191,7 +191,7 @@
         tasks: int,
         need: ResourceAmounts,
         planned: PlannedOffer,
-        running: int,
+        running_mask: int,
         rerunnable: bool,
         spec: JobSpec | None = None,
         term_us: int = 0,
@@ -203,7 +203,7 @@
             tasks: The number of its tasks.
             need: The resources that one task takes.
             planned: The peer, and how many tasks to offer.
-            running: The mask of tasks that run here.
+            running_mask: The mask of tasks that run here.
             rerunnable: Whether the tasks may run twice.
             spec: The job as it was accepted.
             term_us: The term of work that may run twice.
@@ -212,22 +212,22 @@
             The entry to write, or None if nothing can be offered.
         """
         record = self.origin_records.get(job) or OriginRecord(OriginOffload(tasks, rerunnable=rerunnable))
-        waiting = record.offload.startable & ~running
+        waiting_mask = record.offload.startable & ~running_mask
         task_mask = 0
         for task in range(tasks):
-            if waiting >> task & 1 and task_mask.bit_count() < planned.task_count:
+            if waiting_mask >> task & 1 and task_mask.bit_count() < planned.task_count:
                 task_mask |= 1 << task
         self.offload_count += 1
         if self.offload_count >= OFFLOADS_PER_FENCING_TOKEN:
             return None
         number = self.fencing_token * OFFLOADS_PER_FENCING_TOKEN + self.offload_count
-        offload, job_message = handoff.offer(record.offload, number, task_mask, running)
+        offload, messages = handoff.offer(record.offload, number, task_mask, running_mask)
         if offload == record.offload:
             return None
         after = msgspec.structs.replace(
             record, offload=offload, peer=planned.peer, need=need, spec=spec, term_us=term_us
         )
-        return self._origin_entry(job, after, job_message)
+        return self._origin_entry(job, after, messages)
 
     def change_origin(self, job: str, change: tuple[OriginOffload, list[Message]]) -> LedgerEntry | None:
         """Return the entry of a change that the origin cluster decides by itself, such as a recall."""
@@ -401,19 +401,26 @@
         granted = (grant.cpus, grant.gpus, grant.memory_gb)
         available = (free.cpus, free.gpus, free.memory_gb)
         return all(
-            n <= f - r + 1e-9 and n <= g - u + 1e-9
-            for n, f, r, g, u in zip(need, available, reserved, granted, used, strict=True)
+            needed_amount <= free_amount - reserved_amount + 1e-9
+            and needed_amount <= granted_amount - used_amount + 1e-9
+            for needed_amount, free_amount, reserved_amount, granted_amount, used_amount in zip(
+                need, available, reserved, granted, used, strict=True
+            )
         )
 
     def used(self, peer: str) -> tuple[float, float, float]:
         """Return the resources that a peer uses of its grant: reserved, running and stopping."""
         return _total_amounts(
-            b for p, _, b in self._remote_items() if p == peer and b.offload.state in _OCCUPYING_STATES
+            record
+            for used_by, _, record in self._remote_items()
+            if used_by == peer and record.offload.state in _OCCUPYING_STATES
         )
 
     def reserved(self) -> tuple[float, float, float]:
         """Return the resources that are reserved for accepted offers that are not granted yet."""
-        return _total_amounts(b for _, _, b in self._remote_items() if b.offload.state == handoff.RESERVED)
+        return _total_amounts(
+            record for _, _, record in self._remote_items() if record.offload.state == handoff.RESERVED
+        )
 
     # -- entries ---------------------------------------------------------------------------------
 
--- a/pearstep/federation/offload_selection.py
+++ b/pearstep/federation/offload_selection.py
@@ -119,9 +119,9 @@
 
 def starts_sooner(job: WaitingJob, capacity: PeerCapacity, policy: Policy) -> bool:
     """Tell whether the job starts enough sooner at the peer."""
-    there = capacity.start_us + 2 * capacity.link_delay_us
+    start_at_peer_us = capacity.start_us + 2 * capacity.link_delay_us
     margin = max(int(job.start_us * policy.min_gain_share), policy.min_gain_us) * (1 + job.returned)
-    return job.start_us > job.objective_us and there + margin <= job.start_us
+    return job.start_us > job.objective_us and start_at_peer_us + margin <= job.start_us
 
 
 def choose_offers(
@@ -143,7 +143,7 @@
     soonest = (
         min(capacity.start_us + 2 * capacity.link_delay_us for capacity in available) + policy.min_gain_us
     )
-    late = (
+    late_jobs = (
         job
         for job in waiting
         if job.start_us > job.objective_us and job.start_us >= soonest and may_be_offloaded(job, policy)
@@ -151,7 +151,7 @@
     # The number of offers in a pass is limited, so the rest of a hundred thousand jobs need not be sorted.
     most_overdue = heapq.nsmallest(
         4 * policy.max_offers_in_pass,
-        late,
+        late_jobs,
         key=lambda job: (job.is_queue_head, job.objective_us - job.start_us, job.ref),
     )
     offers: list[PlannedOffer] = []
