--- a/pearstep/shard/group_commit.py
+++ b/pearstep/shard/group_commit.py
@@ -14,7 +14,7 @@
 from pearstep.shard.machine import TaskKey
 from pearstep.shard.placement_drafts import GroupCommit, PlacementDraft
 from pearstep.shard.shard_state import ShardState
-from pearstep.shard.task_placement import YIELD_US
+from pearstep.shard.task_placement import PLACEMENT_BACKOFF_US
 from pearstep.state.job import Job, Route
 from pearstep.state.records import TASKS_PER_RECORD, JobRecord, route_key
 
@@ -311,8 +311,8 @@
 
     def _back_off(self, draft: PlacementDraft, now_us: int) -> None:
         """Do not place any more of the job for a while."""
-        pause_us = GANG_RETRY_US if draft.spec.kind == "gang" else YIELD_US
-        self.state.preempted_until_us[draft.spec.job_id] = now_us + pause_us
+        pause_us = GANG_RETRY_US if draft.spec.kind == "gang" else PLACEMENT_BACKOFF_US
+        self.state.placement_backoff_until_us[draft.spec.job_id] = now_us + pause_us
 
     def _hold(self, draft: PlacementDraft) -> None:
         """Do not write a record again before it changes."""
--- a/pearstep/shard/shard_state.py
+++ b/pearstep/shard/shard_state.py
@@ -55,7 +55,8 @@
         pending_writes: Records of machines and drains that the next group commits write, with their
             conditions, by key; the record is None for a key that is deleted.
         jobs_to_finish: When the end of a job that is complete by its records is written, by job.
-        preempted_until_us: Until when a job is not placed that gave way, or could not be written, by job.
+        placement_backoff_until_us: Time before which no task of a job is placed, by job; set after a
+            preemption, and when the job's record could not be written.
         deleted_machines: Names of machines whose deletion the cloud has confirmed.
         pass_due: Whether something changed that the next placement pass should see at once.
     """
@@ -84,7 +85,7 @@
         self.faults = FaultAttribution(config.suspect_machines, config.faulty_machine_errors)
         self.pending_writes: dict[str, tuple[Any, dict[str, int]]] = {}
         self.jobs_to_finish: dict[str, int] = {}
-        self.preempted_until_us: dict[str, int] = {}
+        self.placement_backoff_until_us: dict[str, int] = {}
         self.deleted_machines: set[str] = set()
         self.pass_due = True
         self._load(now_us, wall_us)
@@ -120,7 +121,7 @@
                     self.pass_due = True
         self.gangs.pop(job_id, None)
         self.jobs_to_finish.pop(job_id, None)
-        self.preempted_until_us.pop(job_id, None)
+        self.placement_backoff_until_us.pop(job_id, None)
         self.faults.forget_job(job_id)
 
     def schedule_job_end(self, job: Job, now_us: int) -> None:
