--- a/pearstep/shard/task_placement.py
+++ b/pearstep/shard/task_placement.py
@@ -351,8 +351,8 @@
             if item.retry_at_us > now_us or state.faults.is_suspect(item.spec.job_id):
                 continue
             for victim in preemption.choose_victims(item):
-                # If the work since the last checkpoint takes no longer than a save, the task is stopped without
-                # saving, and the waiting job starts earlier by the duration of the save.
+                # If less work would be lost than a save takes, the task is stopped without saving, and the
+                # waiting job starts earlier by the duration of the save.
                 skip_save = victim.unsaved_us(now_us) <= victim.spec.save_us
                 # Seen: without a pause, a preempted task was restarted at once on the resources that the
                 # gang was still collecting, and was stopped again, ten times a second.
