--- a/pearstep/controller/shard_loop.py
+++ b/pearstep/controller/shard_loop.py
@@ -140,14 +140,14 @@
 
     @staticmethod
     def _log_unwritten(owner: ShardOwner) -> None:
-        for unwritable in owner.unwritten:
+        for unwritable in owner.unwritable_keys:
             log.error(
                 "record can't be written",
                 shard=owner.shard_id,
                 key=unwritable.key,
                 cause=unwritable.reason,
             )
-        owner.unwritten.clear()
+        owner.unwritable_keys.clear()
 
     async def _commit(self, owner: ShardOwner) -> None:
         """Commit what the owner has decided, in groups, until nothing is left or the shard is given up."""
@@ -184,7 +184,7 @@
         if result.state == CommitOutcome.COMMITTED:
             self._on_committed(owner, batch, result)
         elif result.state == CommitOutcome.MALFORMED:
-            owner.malformed(batch, now_us(), wall_us())
+            owner.on_malformed(batch, now_us(), wall_us())
             self._log_unwritten(owner)
             self.pass_requested.set()
         elif result.state == CommitOutcome.REFUSED:
--- a/pearstep/shard/group_commit.py
+++ b/pearstep/shard/group_commit.py
@@ -1,4 +1,4 @@
-"""The group commits of a shard: what is written together, and what follows from the answer."""
+"""Group commits of a shard: builds the transactions, and handles their outcomes."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 from pearstep.state.job import Job, Route
 from pearstep.state.records import TASKS_PER_RECORD, JobRecord, route_key
 
-# Tasks that are over within so many intervals between heartbeats are short.
-SHORT_REPORTS = 3
-# How long a gang is not placed again whose placements can't be written.
+# Tasks estimated to end within this many heartbeat intervals count as short.
+SHORT_TASK_HEARTBEATS = 3
+# A gang whose placements could not be written is not placed again for this long.
 GANG_RETRY_US = 60 * SECOND_US
-# A record that others of the same transaction come before goes with the next one, if the conditions of all
-# were more than so many for each operation: the more there are, the more often one of them fails.
+# A further record is left for the next transaction if the transaction would then have more conditions per
+# operation than this: the more conditions there are, the more often one of them fails.
 PREFERRED_CONDITIONS_PER_OPERATION = 2
-# About what one placement takes in a record.
-PLACEMENT_BYTES = 64
+# Approximate encoded size of one placement in a record.
+APPROXIMATE_PLACEMENT_BYTES = 64
 
-# Ends that are not recorded yet, as machine and task key, by job and chunk.
+# Ends of attempts that are not recorded yet, as machine name and task key, by job and chunk.
 UnrecordedEnds = dict[tuple[str, int], list[tuple[str, TaskKey]]]
 
 
 class GroupCommitter:
-    """Gathers what is to be written, and carries out what a commit permits.
+    """Builds group commits from the pending changes, and sends the commands that a commit permits.
 
     Attributes:
         state: The data of the shard.
-        isolated: Keys of malformed transactions, each of which is written in one of its own next.
-        isolated_turn: Whether one of these comes next; they take turns with everything else.
-        unwritable: Keys of which even that was malformed.
-        unwritten: What could not be written, for the log.
+        isolated_keys: Keys from malformed transactions; each is retried in a transaction of its own.
+        isolated_key_next: Whether an isolated key is written next; they alternate with all other writes.
+        abandoned_keys: Keys that failed even in a transaction of their own, and are not written again.
+        unwritable_keys: Keys that could not be written as they are, to be logged.
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Write what changes in ``state``."""
+        """Commit the changes of ``state``."""
         self.state = state
-        self.isolated: deque[str] = deque()
-        self.isolated_turn = True
-        self.unwritable: set[str] = set()
-        self.unwritten: list[UnwritableKey] = []
+        self.isolated_keys: deque[str] = deque()
+        self.isolated_key_next = True
+        self.abandoned_keys: set[str] = set()
+        self.unwritable_keys: list[UnwritableKey] = []
 
     def has_writes(self, now_us: int) -> bool:
         """Return whether there is anything for a group commit."""
@@ -63,51 +63,52 @@
     def gather_commit(self, now_us: int, wall_us: int) -> GroupCommit | None:
         """Return the next group commit, conditional on our token, or None if there is nothing to write.
 
-        What was in a malformed one is written alone, in turn with everything else, which goes on meanwhile.
+        Keys from malformed transactions are written one per transaction, alternating with normal group
+        commits.
         """
-        while self.isolated and self.isolated_turn:
-            batch = self._gather(now_us, wall_us, only=self.isolated.popleft())
+        while self.isolated_keys and self.isolated_key_next:
+            batch = self._gather(now_us, wall_us, only_key=self.isolated_keys.popleft())
             if batch is not None:
-                self.isolated_turn = False
+                self.isolated_key_next = False
                 return batch
-        self.isolated_turn = True
+        self.isolated_key_next = True
         batch = self._gather(now_us, wall_us)
-        return self.gather_commit(now_us, wall_us) if batch is None and self.isolated else batch
+        return self.gather_commit(now_us, wall_us) if batch is None and self.isolated_keys else batch
 
-    def _gather(self, now_us: int, wall_us: int, only: str | None = None) -> GroupCommit | None:
-        """Return a group commit; ``only``: the one key that is written, None for all that aren't isolated."""
+    def _gather(self, now_us: int, wall_us: int, only_key: str | None = None) -> GroupCommit | None:
+        """Return a group commit of the key ``only_key``; if that is None, of all keys not isolated."""
         state = self.state
         limits = state.config.transaction_limits
         batch = GroupCommit(limits, f"part/{state.shard_id}", state.fencing_token)
-        self._add_drafts(batch, only, now_us)
-        if only is None:
+        self._add_drafts(batch, only_key, now_us)
+        if only_key is None:
             self._add_completed_jobs(batch, wall_us)
-        self._add_due_job_ends(batch, only, now_us, wall_us)
-        self._add_pending_writes(batch, only)
+        self._add_due_job_ends(batch, only_key, now_us, wall_us)
+        self._add_pending_writes(batch, only_key)
         return batch if batch.changes else None
 
-    def _in_turn(self, key: str, only: str | None) -> bool:
-        """Return whether a key may be written now."""
-        return key not in self.isolated if only is None else key == only
+    def _is_selected(self, key: str, only_key: str | None) -> bool:
+        """Return whether a key belongs in this commit; see ``_gather``."""
+        return key not in self.isolated_keys if only_key is None else key == only_key
 
-    def _add_drafts(self, batch: GroupCommit, only: str | None, now_us: int) -> None:
-        """Add placement records."""
+    def _add_drafts(self, batch: GroupCommit, only_key: str | None, now_us: int) -> None:
+        """Add changed placement records."""
         limit = self.state.config.txn_ops
         ends: UnrecordedEnds | None = None
         operations = 0
-        # Gangs first: what waits for a start waits whole. Then what was not written for longest: seen with a
-        # vast array, whose record had something new each time, that hundreds of small jobs never came to
-        # their turn.
+        # Gangs come first, because none of a gang's tasks starts before all are committed. Then the records
+        # that were written longest ago. Seen: the record of a very large array changed every time, and the
+        # records of hundreds of small jobs were never written.
         for draft in sorted(
             (
                 draft
                 for draft in self.state.drafts.values()
-                if draft.dirty and not draft.in_flight and self._in_turn(draft.key, only)
+                if draft.dirty and not draft.in_flight and self._is_selected(draft.key, only_key)
             ),
             key=lambda draft: (draft.spec.kind != "gang", draft.written_at_us),
         ):
-            # A record may bring its job's end along: both must fit. An array's end takes the place of its
-            # last record.
+            # The commit may also contain the end of the record's job, so both must fit. For an array, the
+            # job's end replaces its last record.
             operations += 2 if draft.done_tasks and draft.spec.kind != "array" else 1
             if batch.drafts and operations > limit:
                 break
@@ -117,7 +118,7 @@
                 break
 
     def _unrecorded_ends(self) -> UnrecordedEnds:
-        """Return the ends that are not recorded yet, by the record that they belong to."""
+        """Return the ends that are not recorded yet, by the placement record that will contain them."""
         ends: UnrecordedEnds = {}
         for machine in self.state.machines.values():
             for key in machine.unrecorded_ends:
@@ -128,35 +129,37 @@
     def _add_draft(
         self, draft: PlacementDraft, batch: GroupCommit, ends: UnrecordedEnds, now_us: int
     ) -> bool:
-        """Add a record; return False if it does not fit beside the others.
+        """Add a record to the batch; return False if it does not fit in addition to the others.
 
-        One that does not fit alone is written in parts: with some of its new placements now, and the others
-        in later transactions.
+        A record that does not fit into a transaction of its own is written in parts: with some of its new
+        placements now, and with the others in later transactions.
         """
         job = self.state.replica.jobs[draft.spec.job_id]
         route = job.routes.get(self.state.shard_id)
-        new = self._within_value(draft, self._new_placements(draft, job, route), now_us)
-        some = new[: draft.most_new]
+        new_attempts = self._fit_value_size(draft, self._new_placements(draft, job, route), now_us)
+        included = new_attempts[: draft.most_new]
         if not batch.drafts:
-            some = _within_conditions(some, batch, self._conditions_of(draft, job, route, some[:1]))
+            included = _fit_conditions(included, batch, self._conditions_of(draft, job, route, included[:1]))
         while True:
-            conditions = self._conditions_of(draft, job, route, some)
-            if some and batch.drafts and self._too_many_conditions(batch, conditions):
+            conditions = self._conditions_of(draft, job, route, included)
+            if included and batch.drafts and self._too_many_conditions(batch, conditions):
                 return False
-            raw = msgspec.json.encode(draft.to_record({attempt.task for attempt in new[len(some) :]}))
-            if batch.size.try_add(conditions, {draft.key: len(raw)}):
+            encoded_record = msgspec.json.encode(
+                draft.to_record({attempt.task for attempt in new_attempts[len(included) :]})
+            )
+            if batch.size.try_add(conditions, {draft.key: len(encoded_record)}):
                 break
             if batch.drafts:
                 return False
-            if not some:
-                self._hold(draft)
+            if not included:
+                self._defer_until_changed(draft)
                 return True
-            some = some[: len(some) // 2]
+            included = included[: len(included) // 2]
         batch.preconditions.update(conditions)
-        batch.puts[draft.key] = (msgspec.Raw(raw), None)
+        batch.puts[draft.key] = (msgspec.Raw(encoded_record), None)
         batch.drafts.append(draft)
-        batch.placed_attempts.extend(some)
-        if len(some) < len(new):
+        batch.placed_attempts.extend(included)
+        if len(included) < len(new_attempts):
             batch.partial.add(draft.key)
         batch.recorded_ends.extend(ends.get((draft.spec.job_id, draft.chunk), ()))
         draft.dirty = False
@@ -165,25 +168,25 @@
         return True
 
     def _too_many_conditions(self, batch: GroupCommit, conditions: dict[str, int]) -> bool:
-        """Return whether a batch with these conditions too would fail too often."""
+        """Return whether these conditions would bring the batch above the preferred number of conditions."""
         preferred = PREFERRED_CONDITIONS_PER_OPERATION * self.state.config.txn_ops
         return len(batch.preconditions.keys() | conditions.keys()) > preferred
 
     def _new_placements(self, draft: PlacementDraft, job: Job, route: Route | None) -> list[TaskAttempt]:
-        """Return the placements that are still to be written, and allowed by the records as known now."""
-        new = _placing(draft)
-        # The conditions name the records as they are known now. What was decided by older ones must be
-        # checked again, or the conditions would hold for something that is no longer allowed: seen as
-        # a task started in two shards, when its route moved between the decision and the write.
-        stale = [attempt for attempt in new if not self._allowed(attempt, job, route)]
-        if not stale:
-            return new
-        for attempt in new if draft.spec.kind == "gang" else stale:
-            self._unplace(draft, attempt)
-        return [attempt for attempt in new if attempt.state == AttemptState.PLACING]
-
-    def _allowed(self, attempt: TaskAttempt, job: Job, route: Route | None) -> bool:
-        """Return whether the records as they are known now allow what was decided."""
+        """Return the uncommitted placements that the replica's records still allow; discard the others."""
+        new_attempts = _uncommitted_placements(draft)
+        # The commit's conditions use the record versions in the replica now. A placement decided with older
+        # versions must be checked again: the conditions would hold although it is no longer allowed. Seen:
+        # a task was started in two shards, because its route moved between the decision and the write.
+        disallowed = [attempt for attempt in new_attempts if not self._is_allowed(attempt, job, route)]
+        if not disallowed:
+            return new_attempts
+        for attempt in new_attempts if draft.spec.kind == "gang" else disallowed:
+            self._discard_placement(draft, attempt)
+        return [attempt for attempt in new_attempts if attempt.state == AttemptState.PLACING]
+
+    def _is_allowed(self, attempt: TaskAttempt, job: Job, route: Route | None) -> bool:
+        """Return whether the records in the replica still allow a placement."""
         task = attempt.task
         if (
             job.state != JobState.QUEUED
@@ -201,8 +204,8 @@
             return False
         return all(zone == machine.zone for zone, mask in route.zone_tasks.items() if mask >> task & 1)
 
-    def _unplace(self, draft: PlacementDraft, attempt: TaskAttempt) -> None:
-        """Forget a decision that was never written."""
+    def _discard_placement(self, draft: PlacementDraft, attempt: TaskAttempt) -> None:
+        """Discard a placement that was never committed."""
         ATTEMPT_TRANSITIONS.transition(attempt, AttemptState.ENDED)
         draft.attempts.pop(attempt.task, None)
         machine = self.state.machines.get(attempt.machine)
@@ -211,38 +214,41 @@
         self.state.pass_due = True
 
     def _conditions_of(
-        self, draft: PlacementDraft, job: Job, route: Route | None, new: list[TaskAttempt]
+        self, draft: PlacementDraft, job: Job, route: Route | None, new_attempts: list[TaskAttempt]
     ) -> dict[str, int]:
-        """Return what a record with new placements is conditional on."""
+        """Return the preconditions for writing a draft with new placements, as versions by key."""
         job_id = draft.spec.job_id
         conditions = {draft.key: draft.version}
-        if new:
-            # Not routed here any more, or over: the records decide, not what was meant to start.
+        if new_attempts:
+            # The commit must fail if the task is no longer routed here, the job has ended, or a machine is
+            # being drained.
             conditions[route_key(self.state.shard_id, job_id)] = route.version if route else 0
             conditions[f"j/{job_id}"] = job.version
-            conditions.update((f"d/{attempt.machine}", 0) for attempt in new)
+            conditions.update((f"d/{attempt.machine}", 0) for attempt in new_attempts)
         return conditions
 
-    def _within_value(self, draft: PlacementDraft, new: list[TaskAttempt], now_us: int) -> list[TaskAttempt]:
-        """Return the new placements that the record's value has room for; the others are decided again later.
+    def _fit_value_size(
+        self, draft: PlacementDraft, new_attempts: list[TaskAttempt], now_us: int
+    ) -> list[TaskAttempt]:
+        """Return the new placements that fit into the record's value; discard the others.
 
-        A gang that does not fit whole is not placed.
+        Discarded tasks are placed again later. A gang of which any task does not fit is discarded whole.
         """
         limit = self.state.config.value_bytes
-        while new and (size := len(msgspec.json.encode(draft.to_record()))) > limit:
-            excess = max((size - limit) // PLACEMENT_BYTES, 1)
+        while new_attempts and (size := len(msgspec.json.encode(draft.to_record()))) > limit:
+            excess = max((size - limit) // APPROXIMATE_PLACEMENT_BYTES, 1)
             if draft.spec.kind == "gang":
-                excess = len(new)
+                excess = len(new_attempts)
                 reason = f"a gang's placements take {size} bytes, more than a value may have"
-                self._report(draft.key, reason)
-            for attempt in new[-excess:]:
-                self._unplace(draft, attempt)
-            new = new[:-excess]
+                self._add_unwritable_key(draft.key, reason)
+            for attempt in new_attempts[-excess:]:
+                self._discard_placement(draft, attempt)
+            new_attempts = new_attempts[:-excess]
             self._back_off(draft, now_us)
-        return new
+        return new_attempts
 
     def _add_completed_jobs(self, batch: GroupCommit, wall_us: int) -> None:
-        """Add the ends of jobs that are complete with the batch's records."""
+        """Add the ends of jobs that the batch's records complete."""
         for draft in batch.drafts:
             job = self.state.replica.jobs[draft.spec.job_id]
             done = job.done_tasks
@@ -250,33 +256,34 @@
                 if other in batch.drafts or not other.dirty:
                     done |= other.done_tasks
             shard_id = self.state.shard_id
-            if min((placed_in for placed_in, _ in job.placements), default=shard_id) < shard_id:
-                # Another shard ends the job once it hears of this. Seen: the shards of a wide gang, done at
-                # the same moment, refused each other's commits, and its places stayed taken for seconds.
+            if min((other_shard_id for other_shard_id, _ in job.placements), default=shard_id) < shard_id:
+                # The lowest shard of the job ends it after reading this commit. Seen: when all shards of a
+                # cross-shard gang wrote the end at the same moment, their commits conflicted, and the gang's
+                # resources stayed allocated for seconds.
                 continue
             if done == job.spec.all_tasks and job.state == JobState.QUEUED and job.spec.kind != "service":
                 self._add_job_end(job, batch, wall_us)
 
-    def _add_due_job_ends(self, batch: GroupCommit, only: str | None, now_us: int, wall_us: int) -> None:
-        """Add the ends of jobs that are complete by their records."""
+    def _add_due_job_ends(self, batch: GroupCommit, only_key: str | None, now_us: int, wall_us: int) -> None:
+        """Add the ends of jobs that are complete according to their committed records."""
         jobs_to_finish = self.state.jobs_to_finish
         limit = self.state.config.txn_ops
         for job_id, at_us in list(jobs_to_finish.items()):
             job = self.state.replica.jobs[job_id]
             key = f"j/{job_id}"
-            if job.state != JobState.QUEUED or key in self.unwritable:
+            if job.state != JobState.QUEUED or key in self.abandoned_keys:
                 del jobs_to_finish[job_id]
-            elif at_us <= now_us and batch.changes < limit and self._in_turn(key, only):
+            elif at_us <= now_us and batch.changes < limit and self._is_selected(key, only_key):
                 self._add_job_end(job, batch, wall_us)
 
     def _add_job_end(self, job: Job, batch: GroupCommit, wall_us: int) -> None:
-        """Add a job's end if it fits; if not, it follows once its records are known."""
+        """Add a job's end if it fits; otherwise it is written after the committed records have been read."""
         job_id = job.spec.job_id
         key = f"j/{job_id}"
         record = JobRecord(job.spec, job.submitted_at_us, JobState.DONE, wall_us)
         replaced: list[str] = []
         if job.spec.kind == "array":
-            # The job's end says it all.
+            # An array's end makes its placement records in this batch unnecessary.
             replaced = [draft.key for draft in batch.drafts if draft.spec.job_id == job_id]
         if not batch.size.try_add([key], {key: len(msgspec.json.encode(record))}, replaced):
             return
@@ -286,21 +293,21 @@
         for replaced_key in replaced:
             batch.puts.pop(replaced_key, None)
 
-    def _add_pending_writes(self, batch: GroupCommit, only: str | None) -> None:
-        """Add records of machines and drains."""
+    def _add_pending_writes(self, batch: GroupCommit, only_key: str | None) -> None:
+        """Add pending records of machines and drains."""
         pending_writes = self.state.pending_writes
         for key, (record, conditions) in list(pending_writes.items()):
             if batch.changes >= self.state.config.txn_ops:
                 break
-            if key in self.unwritable:
+            if key in self.abandoned_keys:
                 del pending_writes[key]
                 continue
-            if not self._in_turn(key, only):
+            if not self._is_selected(key, only_key):
                 continue
             size = 0 if record is None else len(msgspec.json.encode(record))
             if not batch.size.try_add(conditions, {key: size}):
                 if not batch.changes:
-                    self._give_up(key, "larger than a value or a transaction may be")
+                    self._abandon_key(key, "larger than a value or a transaction may be")
                 continue
             if record is None:
                 batch.deletes.append(key)
@@ -310,28 +317,28 @@
             del pending_writes[key]
 
     def _back_off(self, draft: PlacementDraft, now_us: int) -> None:
-        """Do not place any more of the job for a while."""
+        """Pause the placement of the draft's job."""
         pause_us = GANG_RETRY_US if draft.spec.kind == "gang" else PLACEMENT_BACKOFF_US
         self.state.placement_backoff_until_us[draft.spec.job_id] = now_us + pause_us
 
-    def _hold(self, draft: PlacementDraft) -> None:
-        """Do not write a record again before it changes."""
+    def _defer_until_changed(self, draft: PlacementDraft) -> None:
+        """Do not write a record again until it changes."""
         draft.dirty = False
-        self._report(draft.key, "it does not fit a transaction, and waits until it changes")
+        self._add_unwritable_key(draft.key, "it does not fit a transaction, and waits until it changes")
 
-    def _give_up(self, key: str, reason: str) -> None:
-        """Do not write a key again."""
-        self.unwritable.add(key)
+    def _abandon_key(self, key: str, reason: str) -> None:
+        """Never write a key again."""
+        self.abandoned_keys.add(key)
         self.state.pending_writes.pop(key, None)
         self.state.jobs_to_finish.pop(key.removeprefix("j/"), None)
-        self._report(key, f"{reason}: it is not written any more")
+        self._add_unwritable_key(key, f"{reason}: it is not written any more")
 
-    def _report(self, key: str, reason: str) -> None:
-        """Note for the log that a key could not be written as it is."""
-        self.unwritten.append(UnwritableKey(key, reason))
+    def _add_unwritable_key(self, key: str, reason: str) -> None:
+        """Add a key that could not be written as it is to the list for the log."""
+        self.unwritable_keys.append(UnwritableKey(key, reason))
 
     def on_committed(self, batch: GroupCommit, revision: int, actions: ShardActions) -> None:
-        """Send what a group commit permits, now that it is in the state service."""
+        """Apply the effects of a committed group commit, and send the start commands that it permits."""
         for draft in batch.drafts:
             draft.in_flight = False
             draft.dirty |= draft.key in batch.partial
@@ -341,33 +348,39 @@
         for attempt in placed:
             ATTEMPT_TRANSITIONS.transition(attempt, AttemptState.PLACED)
         for attempt in self._startable(placed):
-            if self._start_is_sent(attempt):
+            if self._starts_directly(attempt):
                 actions.send(attempt.machine, Command(CommandAction.START, attempt.name, attempt.number))
-        for name, key in batch.recorded_ends:
-            machine = self.state.machines.get(name)
+        for machine_name, key in batch.recorded_ends:
+            machine = self.state.machines.get(machine_name)
             if machine is not None and key in machine.unrecorded_ends:
                 machine.unrecorded_ends.discard(key)
                 if key not in machine.attempts:
-                    # Told in the next answer: nothing waits for it, and a message of its own for each
-                    # task that ends was a third of all that was sent.
+                    # The forget command is sent with the next heartbeat answer, because nothing waits for
+                    # it. Separate messages for each ended task were a third of all messages sent.
                     machine.tasks_to_forget.add(key)
         for job_id in batch.finished_jobs:
             self.state.jobs_to_finish.pop(job_id, None)
 
-    def _start_is_sent(self, attempt: TaskAttempt) -> bool:
-        """Return whether a start is sent directly; others go with the answer to a heartbeat, or nowhere."""
+    def _starts_directly(self, attempt: TaskAttempt) -> bool:
+        """Return whether a start is sent as a direct command rather than with the next heartbeat answer."""
         spec = attempt.spec
-        # Where tasks are shorter than a few heartbeat intervals, the machine reports at once when one ends,
-        # and the start goes with the answer. Seen: with an array of 25,000 such tasks, a message of its own
-        # for each start was a third of what the controllers did.
-        short = spec.kind == "array" and spec.estimate_us < SHORT_REPORTS * self.state.config.report_us
-        # The answer may have been slow, and its user told meanwhile that nothing starts any more.
-        return attempt.stop_grace_us is None and not short and not self.state.is_cancelled(spec.job_id)
+        # A machine reports the end of a short task at once, so the next start can go with that answer.
+        # Seen: with an array of 25,000 short tasks, separate messages for each start took a third of the
+        # controllers' work.
+        is_short_task = (
+            spec.kind == "array" and spec.estimate_us < SHORT_TASK_HEARTBEATS * self.state.config.report_us
+        )
+        # The commit's answer may have been slow: in the meantime the job may have been cancelled, and its
+        # user told that no more tasks start.
+        return (
+            attempt.stop_grace_us is None and not is_short_task and not self.state.is_cancelled(spec.job_id)
+        )
 
     def _startable(self, placed: list[TaskAttempt]) -> list[TaskAttempt]:
-        """Return what may start now that these are placed.
+        """Return the attempts that may start after these placements were committed.
 
-        Of a gang that is nothing before all of it is placed, and then also what was placed before.
+        No task of a gang may start before all of its placements are committed; then those committed earlier
+        start, too.
         """
         partly_placed = {
             attempt.spec.job_id for attempt in placed if self.state.is_partly_placed(attempt.spec)
@@ -386,60 +399,62 @@
         ]
         return [*waiting, *(attempt for attempt in placed if attempt.spec.job_id not in partly_placed)]
 
-    def malformed(self, batch: GroupCommit, now_us: int, wall_us: int) -> None:
-        """Write what was in a transaction that the state service will never take in smaller ones.
+    def on_malformed(self, batch: GroupCommit, now_us: int, wall_us: int) -> None:
+        """Split up a group commit that the state service rejected as malformed, and will always reject.
 
-        Each key is written by itself, and of a record that was alone in it less.
+        Its keys are written in separate transactions; a record that was alone in the commit is written with
+        fewer new placements.
         """
         self.on_rejected(batch, now_us, wall_us, unchanged=True)
         keys = batch.keys
         if len(keys) > 1:
-            self.isolated.extend(key for key in keys if key not in self.isolated)
+            self.isolated_keys.extend(key for key in keys if key not in self.isolated_keys)
         elif batch.drafts:
-            self._write_less(batch.drafts[0], batch.placed_attempts, now_us)
+            self._reduce_placements(batch.drafts[0], batch.placed_attempts, now_us)
         else:
-            self._give_up(keys[0], "malformed by itself")
+            self._abandon_key(keys[0], "malformed by itself")
 
-    def _write_less(self, draft: PlacementDraft, placed: list[TaskAttempt], now_us: int) -> None:
-        """Write half of the new placements with which a record was malformed, or none.
+    def _reduce_placements(self, draft: PlacementDraft, placed: list[TaskAttempt], now_us: int) -> None:
+        """Halve the new placements written with a malformed record; discard a single one.
 
-        A record that was malformed without any is not written before it changes.
+        A record that was malformed without new placements is not written again until it changes.
         """
         if not placed:
-            self._hold(draft)
+            self._defer_until_changed(draft)
             return
         if len(placed) > 1:
             draft.most_new = len(placed) // 2
         else:
-            gang = draft.spec.kind == "gang"
-            for attempt in _placing(draft):
-                if gang or attempt is placed[0]:
-                    self._unplace(draft, attempt)
+            is_gang = draft.spec.kind == "gang"
+            for attempt in _uncommitted_placements(draft):
+                if is_gang or attempt is placed[0]:
+                    self._discard_placement(draft, attempt)
             self._back_off(draft, now_us)
-            self._report(draft.key, f"malformed with one new placement, on {placed[0].machine}")
-        self.isolated.append(draft.key)
+            self._add_unwritable_key(draft.key, f"malformed with one new placement, on {placed[0].machine}")
+        self.isolated_keys.append(draft.key)
 
     def on_rejected(
         self, batch: GroupCommit, now_us: int, wall_us: int, unchanged: bool, failed: Collection[str] = ()
     ) -> None:
-        """Go back to what is committed: the group commit was not applied, or may not have been.
+        """Restore the committed state after a group commit that was not applied, or may not have been.
 
         Args:
             batch: The group commit.
             now_us: Time of the monotonic clock.
             wall_us: Time of the wall clock.
-            unchanged: Whether it certainly was not applied, and nothing stands against it: it is written
-                again later. Otherwise, the replica having been renewed, everything in it is decided afresh.
-            failed: Keys whose conditions failed. Records that have nothing to do with them are written again
-                later too: seen with routes that move, that a dozen placements were undone for one.
+            unchanged: Whether the commit was certainly not applied and none of its conditions failed; it is
+                then written again later. Otherwise its drafts are reloaded from the replica, which has been
+                brought up to date, and the placements are decided again.
+            failed: Keys whose conditions failed. Records that do not depend on these keys are also kept and
+                written again later. Seen: one moved route undid a dozen unrelated placements.
         """
-        undone: set[tuple[str, int]] = set()
+        reloaded_drafts: set[tuple[str, int]] = set()
         for draft in batch.drafts:
             draft.in_flight = False
-            if unchanged or (failed and not self._concerned(draft, batch, failed)):
+            if unchanged or (failed and not self._depends_on(draft, batch, failed)):
                 draft.dirty = True
             else:
-                undone.add((draft.spec.job_id, draft.chunk))
+                reloaded_drafts.add((draft.spec.job_id, draft.chunk))
                 self.state.reload_draft(draft, now_us, wall_us)
         pending_writes = self.state.pending_writes
         for key, (record, _) in batch.puts.items():
@@ -447,16 +462,16 @@
                 pending_writes.setdefault(key, (record, {}))
         for key in batch.deletes:
             pending_writes.setdefault(key, (None, {}))
-        # Ends that went with an undone record and were not written are seen again in the next heartbeats:
-        # their attempts are back, and nothing is forgotten before its end is recorded.
-        for name, ended in batch.recorded_ends:
-            job_id, task = parse_task_name(ended[0])
-            machine = self.state.machines.get(name)
-            if machine is not None and (job_id, task // TASKS_PER_RECORD) in undone:
-                machine.unrecorded_ends.discard(ended)
-
-    def _concerned(self, draft: PlacementDraft, batch: GroupCommit, failed: Collection[str]) -> bool:
-        """Return whether a failed condition of the batch speaks against this record."""
+        # The attempts whose ends were in an undone record are restored, and the next heartbeats report the
+        # ends again: a worker is told to forget a task only after its end is recorded.
+        for machine_name, task_key in batch.recorded_ends:
+            job_id, task = parse_task_name(task_key[0])
+            machine = self.state.machines.get(machine_name)
+            if machine is not None and (job_id, task // TASKS_PER_RECORD) in reloaded_drafts:
+                machine.unrecorded_ends.discard(task_key)
+
+    def _depends_on(self, draft: PlacementDraft, batch: GroupCommit, failed: Collection[str]) -> bool:
+        """Return whether this record depends on one of the failed keys of the batch."""
         job_id = draft.spec.job_id
         shard_id = self.state.shard_id
         own_keys = {draft.key, f"j/{job_id}", route_key(shard_id, job_id), f"part/{shard_id}"}
@@ -466,22 +481,23 @@
         )
 
 
-def _placing(draft: PlacementDraft) -> list[TaskAttempt]:
-    """Return the placements of a draft that are still to be written."""
+def _uncommitted_placements(draft: PlacementDraft) -> list[TaskAttempt]:
+    """Return the placements of a draft that are not committed yet."""
     return [attempt for attempt in draft.attempts.values() if attempt.state == AttemptState.PLACING]
 
 
-def _within_conditions(
-    new: list[TaskAttempt], batch: GroupCommit, of_first: Collection[str]
+def _fit_conditions(
+    new_attempts: list[TaskAttempt], batch: GroupCommit, first_conditions: Collection[str]
 ) -> list[TaskAttempt]:
-    """Return as many of the new placements as a transaction has conditions for.
+    """Return the first of the new placements, as many as the transaction's free conditions allow.
 
-    Each machine takes one beside those of a record with the first of them (``of_first``).
+    Each further machine needs one condition in addition to those of the record with the first placement
+    (``first_conditions``).
     """
-    free = batch.size.free_conditions(of_first)
-    machines = {attempt.machine for attempt in new[:1]}
-    for count, attempt in enumerate(new):
+    free = batch.size.free_conditions(first_conditions)
+    machines = {attempt.machine for attempt in new_attempts[:1]}
+    for count, attempt in enumerate(new_attempts):
         if attempt.machine not in machines and len(machines) > free:
-            return new[:count]
+            return new_attempts[:count]
         machines.add(attempt.machine)
-    return new
+    return new_attempts
--- a/pearstep/shard/owner.py
+++ b/pearstep/shard/owner.py
@@ -88,9 +88,9 @@
         self.state.pass_due = due
 
     @property
-    def unwritten(self) -> list[UnwritableKey]:
+    def unwritable_keys(self) -> list[UnwritableKey]:
         """What could not be written, for the log, which clears the list."""
-        return self.committer.unwritten
+        return self.committer.unwritable_keys
 
     def run_pass(self, now_us: int, wall_us: int) -> ShardActions:
         """Decide everything that follows from what is known now."""
@@ -166,6 +166,6 @@
         """Go back to what is committed; see ``GroupCommitter.on_rejected``."""
         self.committer.on_rejected(batch, now_us, wall_us, unchanged, failed)
 
-    def malformed(self, batch: GroupCommit, now_us: int, wall_us: int) -> None:
+    def on_malformed(self, batch: GroupCommit, now_us: int, wall_us: int) -> None:
         """Write what was in a transaction that the state service never takes one by one."""
-        self.committer.malformed(batch, now_us, wall_us)
+        self.committer.on_malformed(batch, now_us, wall_us)
--- a/tests/test_later_meetings.py
+++ b/tests/test_later_meetings.py
@@ -203,7 +203,7 @@
         return {key[0] for key in w.owner.gather_commit(w.now, w.now).puts}
 
     assert first_write() == {"m"}
-    assert first_write(mock.patch.object(TaskPlacement, "_recorded", lambda *args: True)) == {"m", "p"}
+    assert first_write(mock.patch.object(TaskPlacement, "_is_recorded", lambda *args: True)) == {"m", "p"}
 
 
 # -- 2.6 old reports as a leader begins ------------------------------------------------------------
