--- a/pearstep/shard/heartbeats.py
+++ b/pearstep/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a shard's machines: what they show, and the commands in their answers."""
+"""Handles the heartbeats of a shard's machines, and chooses the commands for the answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pearstep.shard.shard_state import ShardState
 from pearstep.state.records import MachineRecord
 
-# Compared for each task or machine; on CPython 3.11 a member is found slowly on its enum.
+# Aliases for hot comparisons (per task or machine): enum member lookup is slow on CPython 3.11.
 _PLACED = AttemptState.PLACED
 _START = CommandAction.START
 _UNCONFIRMED = MachineState.UNCONFIRMED
@@ -27,17 +27,17 @@
 _STOP = CommandAction.STOP
 _FORGET = CommandAction.FORGET
 
-# How often a machine's images are recorded: they only help to choose, and writes are scarce.
-IMAGES_US = 20 * SECOND_US
-# In a shard of more machines than this it is done more rarely, so that these records leave room for others.
-IMAGES_MACHINES = 256
-# A machine that reports, and has shown nothing of what we told it for longer than so many heartbeat
-# intervals, is unreachable: from one heartbeat to the next but one, with some time for the network.
+# Interval between two records of a machine's images. They only improve placement, and writes are limited.
+IMAGE_RECORD_INTERVAL_US = 20 * SECOND_US
+# In a shard with more machines than this the interval grows in proportion, to leave writes for others.
+IMAGE_RECORD_MACHINES = 256
+# A machine is unreachable if it sends heartbeats, but has not confirmed any of our messages for more than
+# this many heartbeat intervals: from one heartbeat to the next but one, with a margin for the network.
 UNREACHABLE_AFTER_HEARTBEATS = 4
 
 
 class HeartbeatHandler:
-    """Takes in heartbeats. Only evidence that a task is gone frees its place, never silence.
+    """Handles heartbeats. Only evidence that a task has ended frees its resources; silence does not.
 
     Attributes:
         state: The data of the shard.
@@ -52,33 +52,33 @@
     def on_heartbeat(
         self, heartbeat: Heartbeat, now_us: int, wall_us: int, direct: bool = False
     ) -> Machine | None:
-        """Take in a heartbeat, or (``direct``) what a worker answered to a direct command.
+        """Process a heartbeat, or (``direct``) a worker's answer to a direct command.
 
-        What a message proves of the machine now is what it shows to have received: a heartbeat that follows
-        the last message here, in the same session, was sent because the one before had its answer (a worker
-        without one goes to the next node); a heartbeat with our token, because something of ours arrived;
-        the answer to a direct command proves that command. What it says of tasks that are over, of sessions,
-        and of a notice is true for ever.
+        A message proves which of our messages the machine has received. A heartbeat with the next sequence
+        number of the same session proves the answer to the previous one, because a worker without an answer
+        turns to the next node. A heartbeat with our fencing token proves that some message of ours arrived.
+        The answer to a direct command proves that command. What a message reports about ended tasks, about
+        sessions and about a reclaim notice remains valid even if the message is late.
 
         Returns:
             The machine, or None if it cannot be used (unknown type, or deleted).
         """
-        machine = self._machine_of(heartbeat, now_us)
+        machine = self._find_or_add_machine(heartbeat, now_us)
         if machine is None:
             return None
         if direct:
             machine.last_received_us = max(machine.last_received_us, machine.command_sent_at_us)
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
-            return machine  # a late message: its task list is old
+            return machine  # a late message: its task list is out of date
         if not direct:
             if heartbeat.incarnation == machine.incarnation and heartbeat.sequence == machine.sequence + 1:
                 machine.last_received_us = max(machine.last_received_us, machine.heartbeat_answered_at_us)
             machine.awaiting_answer = True
-        self._follow_session(machine, heartbeat, now_us, wall_us)
+        self._update_session(machine, heartbeat, now_us, wall_us)
         machine.sequence = heartbeat.sequence
         machine.last_heartbeat_us = now_us
-        self._follow_token(machine, heartbeat, now_us)
-        self._follow_reachability(machine, now_us)
+        self._update_token(machine, heartbeat, now_us)
+        self._update_reachability(machine, now_us)
         if heartbeat.reclaim_notice_us is not None and machine.reclaim_at_us is None:
             machine.reclaim_at_us = now_us + heartbeat.reclaim_notice_us
             self.state.request_drain(machine.name, "notice", wall_us)
@@ -87,8 +87,8 @@
             self._end_unreported(machine, reported, now_us, wall_us, direct)
         return machine
 
-    def _machine_of(self, heartbeat: Heartbeat, now_us: int) -> Machine | None:
-        """Return the machine that reports, a new one if need be; None if it cannot be used."""
+    def _find_or_add_machine(self, heartbeat: Heartbeat, now_us: int) -> Machine | None:
+        """Return the machine of a heartbeat, added if it is new; None if it cannot be used."""
         state = self.state
         if heartbeat.machine in state.deleted_machines:
             return None
@@ -103,19 +103,19 @@
             state.machines[heartbeat.machine] = machine
         return machine
 
-    def _follow_session(self, machine: Machine, heartbeat: Heartbeat, now_us: int, wall_us: int) -> None:
-        """Renew the lease of a session that has begun, and end what was in an earlier one."""
-        begun = heartbeat.incarnation > machine.incarnation
-        if begun or now_us - machine.lease_renewed_at_us > self.state.config.lease_us:
-            # A session lives on for a lease from its beginning, or longer than was thought. Seen after
-            # a cut: counted from the last answer before it, the lease of a session just begun was over,
-            # and tasks placed in it a moment ago were freed and started twice.
+    def _update_session(self, machine: Machine, heartbeat: Heartbeat, now_us: int, wall_us: int) -> None:
+        """Renew the lease of a new session, and end the attempts of earlier sessions."""
+        is_new_session = heartbeat.incarnation > machine.incarnation
+        if is_new_session or now_us - machine.lease_renewed_at_us > self.state.config.lease_us:
+            # A session lasts at least one lease from its start, so its lease is counted from this heartbeat.
+            # Seen after a network partition: counted from the last answer before the partition, the lease
+            # of a new session had already expired, and tasks just placed in it were started twice.
             machine.lease_renewed_at_us = now_us
-        if begun:
+        if is_new_session:
             self._begin_session(machine, heartbeat.incarnation, now_us, wall_us)
 
     def _begin_session(self, machine: Machine, incarnation: int, now_us: int, wall_us: int) -> None:
-        """End earlier sessions: the worker's lease ran out, and it has killed and forgotten all of them."""
+        """End all attempts of earlier sessions: the worker's lease expired, and it has killed its tasks."""
         for attempt in [a for a in machine.attempts.values() if a.incarnation < incarnation]:
             self.completion.record_end(machine, attempt, "lost", now_us, wall_us)
         machine.incarnation = incarnation
@@ -123,12 +123,12 @@
         machine.unanswered_starts.clear()
         machine.unknown_tasks.clear()
 
-    def _follow_token(self, machine: Machine, heartbeat: Heartbeat, now_us: int) -> None:
-        """Note that the machine has our token, and record a machine that has and whose record is old."""
+    def _update_token(self, machine: Machine, heartbeat: Heartbeat, now_us: int) -> None:
+        """Note whether the machine has our token; if so, write its record if that is missing or outdated."""
         state = self.state
         if heartbeat.fencing_token == state.fencing_token and not machine.token_acknowledged:
             machine.token_acknowledged = True
-            # Whoever answered before can do so no longer; its last answer is not later than this.
+            # The previous owner can no longer answer this machine; its last answer was not later than now.
             machine.lease_renewed_at_us = now_us
             machine.last_received_us = max(
                 machine.last_received_us, machine.heartbeat_answered_at_us, machine.command_sent_at_us
@@ -136,23 +136,23 @@
             state.pass_due = True
         if not machine.token_acknowledged:
             return
-        known = state.replica.machines.get(machine.name)
-        if known is None or known[1].address != heartbeat.address:
-            # Only what has heard us is taken in. Copies of heartbeats may come when the machine is long
-            # deleted, and an owner that came after remembers no machine that is gone.
+        machine_entry = state.replica.machines.get(machine.name)
+        if machine_entry is None or machine_entry[1].address != heartbeat.address:
+            # Only a machine that has received a message of ours is recorded. Late copies of heartbeats may
+            # arrive long after a machine was deleted, and a later owner does not remember deleted machines.
             machine.address = heartbeat.address
             self.record_machine(machine)
 
-    def _follow_reachability(self, machine: Machine, now_us: int) -> None:
-        """Tell machines that hear us from those that only report."""
-        silence_limit_us = UNREACHABLE_AFTER_HEARTBEATS * self.state.config.report_us
-        if now_us - machine.last_received_us <= silence_limit_us:
+    def _update_reachability(self, machine: Machine, now_us: int) -> None:
+        """Set a machine to up or unreachable, by whether it has received our messages lately."""
+        confirmation_limit_us = UNREACHABLE_AFTER_HEARTBEATS * self.state.config.report_us
+        if now_us - machine.last_received_us <= confirmation_limit_us:
             machine.unreachable_since_us = None
             if machine.state in (_UNCONFIRMED, _SILENT, _UNREACHABLE):
                 MACHINE_TRANSITIONS.transition(machine, _UP)
                 self.state.pass_due = True
         elif machine.state in (_UNCONFIRMED, _SILENT, _UP):
-            # Its next heartbeat tells, if it comes because this one had its answer.
+            # If the answer to this heartbeat arrives, the machine's next heartbeat proves it.
             MACHINE_TRANSITIONS.transition(machine, _UNREACHABLE)
             if machine.unreachable_since_us is None:
                 machine.unreachable_since_us = now_us
@@ -161,7 +161,7 @@
         """Write the machine's record with the next group commit."""
         images = dict(machine.images)
         record = MachineRecord(machine.machine_type.name, machine.zone, machine.spot, machine.address, images)
-        # The images used least recently are left out of a record that would be too large.
+        # The least recently used images are left out if the record would be too large.
         while images and len(msgspec.json.encode(record)) > self.state.config.value_bytes:
             del images[next(iter(images))]
         self.state.pending_writes[f"m/{self.state.shard_id}/{machine.name}"] = (record, {})
@@ -173,7 +173,7 @@
         unknown_tasks: dict[TaskKey, JobSpec | None] = {}
         reported: set[TaskKey] = set()
         attempts = machine.attempts
-        recorded = self.state.replica.machines.get(machine.name)
+        machine_entry = self.state.replica.machines.get(machine.name)
         machine.tasks_to_forget.intersection_update({(task.name, task.attempt) for task in tasks})
         for task in tasks:
             key = (task.name, task.attempt)
@@ -190,7 +190,7 @@
             else:
                 if task.state != "fetching":
                     machine.record_image(attempt.spec)
-                    if recorded is not None and attempt.spec.image not in recorded[1].images:
+                    if machine_entry is not None and attempt.spec.image not in machine_entry[1].images:
                         self._record_images(machine, now_us)
                 attempt.observe(task.state, now_us)
         if unknown_tasks.keys() != machine.unknown_tasks.keys():
@@ -199,36 +199,40 @@
         return reported
 
     def _record_images(self, machine: Machine, now_us: int) -> None:
-        """Record a machine that has images which its record lacks, from time to time."""
-        if now_us - machine.images_recorded_at_us > self._images_interval_us():
+        """Write the record of a machine with new images, unless that was done recently."""
+        if now_us - machine.images_recorded_at_us > self._image_record_interval_us():
             self.record_machine(machine)
             machine.images_recorded_at_us = now_us
 
-    def _images_interval_us(self) -> int:
-        """Return the time between two records of one machine's images."""
-        return IMAGES_US * max(len(self.state.machines), IMAGES_MACHINES) // IMAGES_MACHINES
+    def _image_record_interval_us(self) -> int:
+        """Return the interval between two records of one machine's images."""
+        return (
+            IMAGE_RECORD_INTERVAL_US
+            * max(len(self.state.machines), IMAGE_RECORD_MACHINES)
+            // IMAGE_RECORD_MACHINES
+        )
 
     def _end_unreported(
         self, machine: Machine, reported: Collection[TaskKey], now_us: int, wall_us: int, direct: bool
     ) -> None:
-        """End the attempts that the machine must have reported if it still had them."""
+        """End the attempts that the machine did not report, although it would if it still had them."""
         for key, attempt in list(machine.attempts.items()):
             if key in reported or attempt.state == _PLACING or key in machine.unanswered_starts:
                 continue
-            # Heartbeats are sent one at a time, so this one came after any start in an earlier answer
-            # was executed or dropped; and no direct start is open. An answer to a direct command proves
-            # less: it may overtake the answer to a heartbeat, with a start in it.
+            # A worker sends one heartbeat at a time, so it had executed or dropped any start in an earlier
+            # answer before it sent this one, and no direct start is unanswered. The answer to a direct
+            # command proves less: it may overtake a heartbeat answer that contains a start.
             if attempt.state == _OBSERVED or (
                 attempt.state == _PLACED and attempt.stop_grace_us is not None and not direct
             ):
                 self.completion.record_end(machine, attempt, "lost", now_us, wall_us)
 
     def on_heartbeat_answered(self, machine: Machine, now_us: int) -> None:
-        """Note that an answer with our token is on its way to the worker: its lease lives on.
+        """Renew the lease when an answer with our token is sent to the worker.
 
-        That must be supposed of every answer: a heartbeat may be overtaken by the answer to a direct command
-        and look like a late copy, and its answer prolongs the lease all the same. What a later heartbeat
-        proves is the answer to the latest.
+        Every answer must be assumed to renew the lease, even one to an apparent late copy: a heartbeat that
+        the answer to a direct command overtook looks like one, and its answer renews the worker's lease.
+        A later heartbeat only proves the answer to the latest heartbeat.
         """
         machine.lease_renewed_at_us = now_us
         if machine.awaiting_answer:
@@ -240,12 +244,12 @@
 
         Args:
             machine: The machine that reported.
-            starts: Whether what was cancelled is known here as it happens, so that something may begin.
+            starts: Whether tasks may start, because cancellations are read here without delay.
         """
         commands: list[Command] = []
         for attempt in machine.attempts.values():
             if attempt.stop_grace_us is not None:
-                self._add_stop(commands, machine, attempt, starts)
+                self._add_stop_commands(commands, machine, attempt, starts)
             elif starts and attempt.state == _PLACED and self._may_start(attempt.spec):
                 commands.append(Command(_START, attempt.name, attempt.number))
         for name, number in machine.unknown_tasks:
@@ -255,10 +259,10 @@
                 commands.append(Command(_FORGET, *key))
         return commands
 
-    def _add_stop(
+    def _add_stop_commands(
         self, commands: list[Command], machine: Machine, attempt: TaskAttempt, starts: bool
     ) -> None:
-        """Add the commands for an attempt that is to stop."""
+        """Add the commands for an attempt that is being stopped."""
         grace_us = attempt.stop_grace_us
         if grace_us is None:
             return
@@ -267,36 +271,36 @@
             starts
             and attempt.state == _PLACED
             and (name, number) in machine.unanswered_starts
-            and self._may_begin(attempt.spec.job_id)
+            and self._job_allows_start(attempt.spec.job_id)
         ):
-            # Its start was sent straight there and nothing came back: it may be lost, or arrive at
-            # any time, so the place can't be freed. Begun and ended it is known to the worker, and
-            # a late start does nothing. Seen (rig, seed 1185): the mates of a gang were lost while
-            # one machine was deaf, and that one's place stayed taken, the gang not run, for as long
-            # as it lived.
+            # The direct start was not answered: it may be lost or may still arrive, so the resources
+            # can't be freed. Starting the task again and stopping it makes the attempt known to the
+            # worker, and a late start then has no effect. Seen (rig, seed 1185): the other tasks of a
+            # gang were lost while one machine was unreachable; its resources stayed allocated as long
+            # as the machine existed, and the gang did not run.
             commands.append(Command(_START, name, number))
-        saving = attempt.phase == "saving" and grace_us
-        if attempt.state in (_PLACED, _OBSERVED) and not saving:
+        is_saving = attempt.phase == "saving" and grace_us
+        if attempt.state in (_PLACED, _OBSERVED) and not is_saving:
             commands.append(Command(_STOP, name, number, grace_us / SECOND_US))
 
     def _may_start(self, spec: JobSpec) -> bool:
-        """Return whether a placed task of the job may start: of a gang not before all is placed."""
+        """Return whether a placed task of the job may start; a gang's only once the whole gang is placed."""
         return not (self.state.is_cancelled(spec.job_id) or self.state.is_partly_placed(spec))
 
-    def _may_begin(self, job_id: str) -> bool:
-        """Return whether a task of the job may still begin, for however short a time."""
+    def _job_allows_start(self, job_id: str) -> bool:
+        """Return whether the job still permits a start, even of a task that is stopped at once."""
         return not self.state.is_cancelled(job_id) and not self.state.replica.jobs[job_id].run_until_us
 
     def on_commands_sent(self, machine: Machine, commands: list[Command], now_us: int) -> None:
-        """Note that direct commands are on their way."""
+        """Note that direct commands were sent."""
         machine.command_sent_at_us = now_us
-        machine.unanswered_starts.update(_started(commands))
+        machine.unanswered_starts.update(_started_attempts(commands))
 
     def on_commands_answered(self, machine: Machine, commands: list[Command]) -> None:
-        """Note that the worker has executed direct commands, or certainly will not."""
-        machine.unanswered_starts.difference_update(_started(commands))
+        """Note that the worker has executed direct commands, or will certainly not execute them."""
+        machine.unanswered_starts.difference_update(_started_attempts(commands))
 
 
-def _started(commands: list[Command]) -> list[TaskKey]:
+def _started_attempts(commands: list[Command]) -> list[TaskKey]:
     """Return the attempts that the commands start."""
     return [(command.task, command.attempt) for command in commands if command.action == _START]
--- a/tests/test_later_meetings.py
+++ b/tests/test_later_meetings.py
@@ -162,7 +162,7 @@
 def test_next_holder_stops_what_was_cancelled():
     assert "ran_cancelled" in rules(
         msgspec.structs.replace(HAND_OVER, until_s=HAND_OVER.until_s + 20),
-        mock.patch.object(MachineLifecycle, "_follow_cancellations", lambda *args: None),
+        mock.patch.object(MachineLifecycle, "_handle_ended_jobs", lambda *args: None),
     )
 
 
