--- a/pearstep/shard/attempt_completion.py
+++ b/pearstep/shard/attempt_completion.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt is known to be gone: its place is freed, and its end recorded."""
+"""Completion of attempts: frees the resources of an ended attempt, and records its end."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptCompletion:
-    """Records ends of attempts in the drafts, and counts failures.
+    """Records the ends of attempts in the drafts, and counts failures.
 
     Attributes:
         state: The data of the shard.
@@ -28,12 +28,12 @@
         now_us: int,
         wall_us: int,
     ) -> None:
-        """Free the place of an attempt that is gone by evidence, and record its end.
+        """Free the resources of an attempt that has provably ended, and record its end.
 
         Args:
-            machine: The machine that it was on.
+            machine: The machine of the attempt.
             attempt: The attempt.
-            cause: Why it ended, as on the wire; "lost" if nothing is known but that it is gone.
+            cause: Why it ended, as on the wire; "lost" if the reason is unknown.
             now_us: Time of the monotonic clock.
             wall_us: Time of the wall clock.
         """
@@ -46,9 +46,9 @@
             del draft.attempts[attempt.task]
         draft.dirty = True
         self.state.pass_due = True
-        self._follow_cause(machine, attempt, draft, cause, now_us, wall_us)
+        self._handle_cause(machine, attempt, draft, cause, now_us, wall_us)
 
-    def _follow_cause(
+    def _handle_cause(
         self,
         machine: Machine,
         attempt: TaskAttempt,
@@ -73,17 +73,17 @@
     def _record_done(
         self, machine: Machine, attempt: TaskAttempt, draft: PlacementDraft, now_us: int
     ) -> None:
-        """Record that a task is done, and give its run time to the adaptive delay."""
+        """Record that a task is done, and report its wait and run times to the adaptive delay."""
         state = self.state
         spec = attempt.spec
         draft.done_tasks |= 1 << attempt.task
         draft.consecutive_failures = 0
         if spec.kind == "gang":
-            # Gangs complete together: when one task is done, all are.
+            # A gang completes as a whole: when one task is done, all are.
             for task in range(spec.tasks):
-                other = state.draft_for(spec, task // TASKS_PER_RECORD)
-                other.done_tasks |= 1 << task
-                other.dirty = True
+                task_draft = state.draft_for(spec, task // TASKS_PER_RECORD)
+                task_draft.done_tasks |= 1 << task
+                task_draft.dirty = True
         state.faults.record_success(machine.name, spec.job_id)
         started_at_us = attempt.running_since_us or now_us
         job = state.replica.jobs.get(spec.job_id)
--- a/pearstep/shard/commands.py
+++ b/pearstep/shard/commands.py
@@ -1,4 +1,4 @@
-"""What an owner is told and what it wants done, in the core's terms."""
+"""Inputs and outputs of a shard owner: settings, heartbeats, commands and other actions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CommandAction(StrEnum):
-    """What a worker is told to do with a task."""
+    """Actions that a worker can be told to perform on a task."""
 
     START = "start"
     STOP = "stop"
@@ -25,10 +25,10 @@
     """A command for a worker.
 
     Attributes:
-        action: What to do.
+        action: The action to perform.
         task: Name of the task.
         attempt: Number of the attempt.
-        grace_s: For a stop: seconds that the task has to save. Else None.
+        grace_s: For a stop, the seconds that the task has to save its work; otherwise None.
     """
 
     action: CommandAction
@@ -39,32 +39,33 @@
 
 @dataclass
 class ShardOwnerConfig:
-    """What the owner needs of the settings.
+    """Settings of a shard owner.
 
     Attributes:
         shard_count: Number of shards.
         zone: Zone of this node.
-        lease_us: How long a worker's session lives on without an answer.
+        lease_us: How long a worker's session lasts without an answer.
         report_us: Time between two heartbeats of a machine.
-        cancel_us: Within which time a cancelled job's tasks are to be gone.
+        cancel_us: Time within which the tasks of a cancelled job must have ended.
         queue_bounds_us: Upper bounds of the backfill queues' run times.
         initial_delay_us: First value of the adaptive delay.
         delay_batch_size: Completed jobs after which the delay is adapted.
-        delay_threshold: Relative change of the mean slowdown from which on the delay is changed.
-        overrun_share: Share of its run time so far that a task past its estimate is expected to run on.
+        delay_threshold: Relative change of the mean slowdown at which the delay is changed.
+        overrun_share: Expected remaining run time of a task past its estimate, as a share of its run time so
+            far.
         machine_silence_us: Silence after which a machine is replaced.
         faulty_machine_errors: Jobs that failed on a machine, or failures of jobs proven good, after which it
             is faulty.
-        suspect_machines: Machines on which a job failed after which the job is suspect.
+        suspect_machines: Number of machines on which a job must fail to be considered suspect.
         value_bytes: Size of the largest value of the state service.
-        txn_ops: Changes that the owner puts into one transaction.
+        txn_ops: Maximum number of changes in one transaction.
         urgent_classes: Job classes whose work is urgent (see ``QueuedWork``).
-        start_objectives: Within which times jobs of a class are to start.
-        accelerator_penalty_us: Time of an image fetch that is accepted to keep a machine with accelerators
-            free of a task without.
-        first_start_within_us: Within which time of its submission every job is to begin; 0: none.
+        start_objectives: Times within which jobs of a class should start, by class.
+        accelerator_penalty_us: Image fetch time that is accepted to keep a machine with accelerators free of
+            tasks that need none.
+        first_start_within_us: Time after submission within which every job should start; 0 for no limit.
         shards_within_zones: Whether shards keep to their zones.
-        txn_conditions: Conditions that a transaction may have; 0: as many as the protocol allows for
+        txn_conditions: Maximum number of conditions in a transaction; 0 for the protocol's limit for
             ``txn_ops``.
     """
 
@@ -92,7 +93,7 @@
 
     @property
     def transaction_limits(self) -> TransactionLimits:
-        """Return what a group commit may hold."""
+        """Return the limits of a group commit."""
         conditions = self.txn_conditions or CONDITIONS_PER_OPERATION * self.txn_ops
         return TransactionLimits(self.txn_ops, conditions, self.value_bytes)
 
@@ -104,8 +105,8 @@
     Attributes:
         name: Name of the task.
         attempt: Number of the attempt.
-        state: State by the worker: fetching, running, saving or exited, as on the wire.
-        cause: Why it exited; None while it has not.
+        state: State reported by the worker: fetching, running, saving or exited, as on the wire.
+        cause: Why it exited; None before that.
         saved: Whether it saved before it exited.
     """
 
@@ -147,11 +148,11 @@
 
 @dataclass
 class ShardActions:
-    """What the owner wants done outside.
+    """Actions that the owner requests from its node.
 
     Attributes:
         commands: Direct commands by machine; an empty list is a probe.
-        machines_to_delete: Names of machines that the cloud is to delete.
+        machines_to_delete: Names of the machines to delete in the cloud.
     """
 
     commands: dict[str, list[Command]] = field(default_factory=dict)
@@ -162,17 +163,17 @@
         self.commands.setdefault(machine, []).append(command)
 
     def probe(self, machine: str) -> None:
-        """Add an empty direct command: it carries the token there and a heartbeat back."""
+        """Add an empty direct command, which delivers the fencing token and returns a heartbeat."""
         self.commands.setdefault(machine, [])
 
 
 @dataclass(frozen=True)
 class UnwritableKey:
-    """Something that the state service can't be given as it is.
+    """A key that can't be written to the state service as it is.
 
     Attributes:
         key: The key that is not written.
-        reason: Why not, and what becomes of it, for the log.
+        reason: Why it can't be written and how it is handled, for the log.
     """
 
     key: str
--- a/pearstep/shard/group_commit.py
+++ b/pearstep/shard/group_commit.py
@@ -137,7 +137,7 @@
         job = self.state.replica.jobs[draft.spec.job_id]
         route = job.routes.get(self.state.shard_id)
         new_attempts = self._fit_value_size(draft, self._new_placements(draft, job, route), now_us)
-        included = new_attempts[: draft.most_new]
+        included = new_attempts[: draft.max_new_placements]
         if not batch.drafts:
             included = _fit_conditions(included, batch, self._conditions_of(draft, job, route, included[:1]))
         while True:
@@ -160,7 +160,7 @@
         batch.drafts.append(draft)
         batch.placed_attempts.extend(included)
         if len(included) < len(new_attempts):
-            batch.partial.add(draft.key)
+            batch.partial_keys.add(draft.key)
         batch.recorded_ends.extend(ends.get((draft.spec.job_id, draft.chunk), ()))
         draft.dirty = False
         draft.in_flight = True
@@ -341,7 +341,7 @@
         """Apply the effects of a committed group commit, and send the start commands that it permits."""
         for draft in batch.drafts:
             draft.in_flight = False
-            draft.dirty |= draft.key in batch.partial
+            draft.dirty |= draft.key in batch.partial_keys
             if draft.key in batch.puts:
                 draft.version = revision
         placed = [attempt for attempt in batch.placed_attempts if attempt.state == AttemptState.PLACING]
@@ -423,7 +423,7 @@
             self._defer_until_changed(draft)
             return
         if len(placed) > 1:
-            draft.most_new = len(placed) // 2
+            draft.max_new_placements = len(placed) // 2
         else:
             is_gang = draft.spec.kind == "gang"
             for attempt in _uncommitted_placements(draft):
--- a/pearstep/shard/machine.py
+++ b/pearstep/shard/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its owner knows it, and its state machine."""
+"""The shard owner's view of a machine, and the machine's state transitions."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from pearstep.domain.state_machine import TransitionTable
 from pearstep.scheduling.whole_machine import WholeMachineReservations
 
-# A time before all others.
+# Earlier than every clock value.
 NEVER_US = -(1 << 60)
-# Name and attempt number of a task on a machine.
+# Task name and attempt number.
 TaskKey = tuple[str, int]
 
 
 class MachineState(StrEnum):
-    """States of a machine as its owner knows it."""
+    """States of a machine in its owner's view."""
 
-    UNCONFIRMED = "unseen"  # known from records; it has not been heard under our token
+    UNCONFIRMED = "unseen"  # known from records; no heartbeat with our token yet
     UP = "up"
-    SILENT = "silent"  # no report for a while; its tasks may well be running
-    UNREACHABLE = "deaf"  # its reports arrive, and it shows nothing of our answers and commands
-    DRAINING = "draining"  # takes nothing new, is being emptied
+    SILENT = "silent"  # no heartbeat for a while; its tasks may still be running
+    UNREACHABLE = "deaf"  # sends heartbeats, but does not confirm our answers and commands
+    DRAINING = "draining"  # accepts no new tasks; its tasks are being stopped
     DELETING = "deleting"  # the cloud has been asked to delete it
     GONE = "gone"
 
@@ -65,41 +65,41 @@
 
 
 class Machine:
-    """What the owner knows of a machine.
+    """The owner's view of a machine.
 
     Attributes:
         name: Name of the machine.
         machine_type: Its type.
         zone: Its zone.
         spot: Whether the cloud may reclaim it.
-        address: Where its worker takes direct commands.
+        address: Address at which its worker accepts direct commands.
         state: Its state; see ``MACHINE_TRANSITIONS``.
         incarnation: Number of its worker's session; 0 before the first heartbeat.
         sequence: Number of its latest message in the session.
-        token_acknowledged: Whether it has seen our own token: nobody with an older one can command
-            it any more.
-        last_heartbeat_us: When it was heard last.
-        silence_excused_at_us: When it was last silent with most of its zone: that silence does not count.
-        lease_renewed_at_us: From when on its session lives for a lease, as far as is known here.
-        last_received_us: When we sent the latest of our answers and commands that it has shown to have
-            received: what a late copy of a heartbeat shows is as old as that.
-        heartbeat_answered_at_us: When its latest heartbeat was answered here.
-        command_sent_at_us: When a command was last sent straight to it.
-        awaiting_answer: Whether its latest heartbeat is still to be answered; a late copy is no such
-            heartbeat.
-        unreachable_since_us: Since when it reports without having received anything; None: it has.
-        attempts: What may be on it, by task key.
-        tasks_to_forget: Tasks that are over and recorded, and that the worker may forget.
-        unrecorded_ends: Tasks that are over, and whose end is not recorded yet.
-        unanswered_starts: Tasks whose start was sent straight there, and not answered.
-        unknown_tasks: Tasks that it reports and nobody placed there, with their jobs if there are any.
-        images: Images that it has fetched, the least recently used first, with their sizes in GB.
-        reclaim_at_us: When the cloud reclaims it; None without a notice.
-        drain_reason: Why it is drained.
-        drain_started_at_us: Since when it is drained.
+        token_acknowledged: Whether it has received our fencing token; it then rejects commands with older
+            tokens.
+        last_heartbeat_us: Time of its last heartbeat.
+        silence_excused_at_us: When its silence was last excused because most of its zone was silent.
+        lease_renewed_at_us: Latest time at which its session's lease may have been renewed.
+        last_received_us: Send time of the latest answer or command that it has confirmed as received. A late
+            copy of a heartbeat confirms nothing newer.
+        heartbeat_answered_at_us: When this node answered its latest heartbeat.
+        command_sent_at_us: When the last direct command was sent to it.
+        awaiting_answer: Whether its latest heartbeat has not been answered yet; late copies do not count.
+        unreachable_since_us: Since when it has sent heartbeats without confirming our messages; None if it
+            confirms them.
+        attempts: Attempts that may be on it, by task key.
+        tasks_to_forget: Ended tasks whose end is recorded, which the worker may forget.
+        unrecorded_ends: Ended tasks whose end is not recorded yet.
+        unanswered_starts: Tasks whose direct start command has not been answered.
+        unknown_tasks: Tasks that it reports but that have no attempt here, with their jobs if these exist.
+        images: Sizes in GB of the images that it has fetched, by image, the least recently used first.
+        reclaim_at_us: When the cloud reclaims it; None without a reclaim notice.
+        drain_reason: Reason of its drain.
+        drain_started_at_us: When its drain started.
         images_recorded_at_us: When its images were last recorded.
-        next_probe_at_us: When it may be probed next.
-        next_delete_at_us: When its deletion may be asked for next.
+        next_probe_at_us: Earliest time of the next probe.
+        next_delete_at_us: Earliest time of the next deletion request.
     """
 
     __slots__ = (
@@ -137,7 +137,7 @@
     def __init__(
         self, name: str, machine_type: MachineType, zone: str, spot: bool, address: str, now_us: int
     ) -> None:
-        """Start with a machine that has not been heard under our token."""
+        """Create a machine that has not sent a heartbeat with our token yet."""
         self.name = name
         self.machine_type = machine_type
         self.zone = zone
@@ -169,7 +169,7 @@
         self.next_delete_at_us = 0
 
     def free_resources(self, reservations: WholeMachineReservations) -> FreeResources:
-        """Return what is free, counting everything that may be on the machine as present."""
+        """Return the free resources, assuming that every task that may be on the machine is."""
         free = reservations.total_resources(self.machine_type, self.spot)
         for attempt in self.attempts.values():
             free.allocate(attempt.spec)
@@ -179,7 +179,7 @@
         return free
 
     def record_image(self, spec: JobSpec) -> None:
-        """Note that the machine has fetched an image; the least recently used ones give way."""
+        """Record a fetched image; the least recently used images are evicted from the cache."""
         self.images[spec.image] = spec.image_gb
         self.images.move_to_end(spec.image)
         total_gb = sum(self.images.values())
--- a/pearstep/shard/owner.py
+++ b/pearstep/shard/owner.py
@@ -1,8 +1,8 @@
-"""The owner of a shard: it alone commands the shard's machines, and records before it commands.
+"""The owner of a shard, which alone sends commands to the shard's machines, after committing the decisions.
 
-Driven by heartbeats, committed changes and time; it returns actions and never waits for anything. The
-data are in a ``ShardState``, which is given to one object for each job: ``HeartbeatHandler``,
-``MachineLifecycle``, ``TaskPlacement`` and ``GroupCommitter``.
+The owner is driven by heartbeats, committed changes and time. It returns actions and never blocks. Its data
+are in a ``ShardState`` that its components share: ``HeartbeatHandler``, ``MachineLifecycle``,
+``TaskPlacement`` and ``GroupCommitter``.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 from pearstep.shard.task_placement import TaskPlacement
 from pearstep.state.replica import Replica
 
-# Between two placement passes, if nothing that was heard asks for one earlier.
+# Interval between two placement passes if no change requires one earlier.
 PASS_INTERVAL_US = SECOND_US
 
 
 class ShardOwner:
-    """Facade of a shard while this node holds it: everything that others ask of its owner.
+    """Facade of a shard that this node owns: the interface of its owner for the rest of the controller.
 
     Attributes:
-        state: The data of the shard, shared by the objects below.
+        state: The state of the shard, shared by the components below.
         completion: Records the ends of attempts.
-        heartbeats: Takes in heartbeats, and gives the commands of their answers.
-        lifecycle: Follows silence, drains, cancellations, routes and gangs.
-        placement: Decides which task starts where, and what is preempted.
-        committer: Writes what changed, in group commits.
+        heartbeats: Handles heartbeats, and chooses the commands for their answers.
+        lifecycle: Handles silence, drains, cancellations, withdrawn routes and gangs.
+        placement: Places tasks on machines, and preempts others.
+        committer: Writes changes in group commits.
         shard_id: Number of the shard.
         fencing_token: Version of the shard's key in the state service, on which each write is conditional.
         machines: The shard's machines by name.
         drafts: Working copies of placement records, by job and chunk.
-        gangs: States of the gangs that have something here, by job.
+        gangs: States of the gangs with tasks in this shard, by job.
         faults: Attribution of failures to machines and jobs.
-        pending_writes: Records and conditions of the next group commit by key; the record is None for a
-            key that is deleted.
-        jobs_to_finish: When the end of a job that is complete by its records is written, by job.
+        pending_writes: Records and conditions for the next group commits, by key; the record is None for a
+            key to delete.
+        jobs_to_finish: Time at which the end of a job that is complete by its records is written, by job.
         deleted_machines: Names of machines whose deletion the cloud has confirmed.
     """
 
-    def __init__(  # noqa: PLR0913  what makes a shard, and both clocks
+    def __init__(  # noqa: PLR0913  the shard's inputs and both clocks
         self,
         shard_id: int,
         fencing_token: int,
@@ -59,7 +59,7 @@
         now_us: int,
         wall_us: int,
     ) -> None:
-        """Take over the shard by the records of ``replica``."""
+        """Restore the shard from the records of ``replica``."""
         state = ShardState(shard_id, fencing_token, replica, machine_types, config, now_us, wall_us)
         self.state = state
         self.completion = AttemptCompletion(state)
@@ -80,7 +80,7 @@
 
     @property
     def pass_due(self) -> bool:
-        """Whether something changed that the next placement pass should see at once."""
+        """Whether a change requires a placement pass without delay."""
         return self.state.pass_due
 
     @pass_due.setter
@@ -89,11 +89,11 @@
 
     @property
     def unwritable_keys(self) -> list[UnwritableKey]:
-        """What could not be written, for the log, which clears the list."""
+        """Keys that could not be written; the caller logs them and clears the list."""
         return self.committer.unwritable_keys
 
     def run_pass(self, now_us: int, wall_us: int) -> ShardActions:
-        """Decide everything that follows from what is known now."""
+        """Run the lifecycle checks, and a placement pass if one is due; return the resulting actions."""
         actions = ShardActions()
         self.lifecycle.run(now_us, wall_us, actions)
         if self.state.pass_due or now_us >= self._next_pass_at_us:
@@ -105,23 +105,23 @@
     def on_heartbeat(
         self, heartbeat: Heartbeat, now_us: int, wall_us: int, direct: bool = False
     ) -> Machine | None:
-        """Take in a heartbeat; see ``HeartbeatHandler.on_heartbeat``."""
+        """Process a heartbeat; see ``HeartbeatHandler.on_heartbeat``."""
         return self.heartbeats.on_heartbeat(heartbeat, now_us, wall_us, direct)
 
     def on_heartbeat_answered(self, machine: Machine, now_us: int) -> None:
-        """Note that an answer with our token is on its way to the machine."""
+        """Note that an answer with our token was sent to the machine."""
         self.heartbeats.on_heartbeat_answered(machine, now_us)
 
     def commands_for(self, machine: Machine, starts: bool = True) -> list[Command]:
-        """Return the commands for the answer to a heartbeat; ``starts``: whether tasks may begin."""
+        """Return the commands for the answer to a heartbeat; ``starts``: whether tasks may start."""
         return self.heartbeats.commands_for(machine, starts)
 
     def on_commands_sent(self, machine: Machine, commands: list[Command], now_us: int) -> None:
-        """Note that direct commands are on their way."""
+        """Note that direct commands were sent."""
         self.heartbeats.on_commands_sent(machine, commands, now_us)
 
     def on_commands_answered(self, machine: Machine, commands: list[Command]) -> None:
-        """Note that the worker has executed direct commands, or certainly will not."""
+        """Note that the worker has executed direct commands, or will certainly not execute them."""
         self.heartbeats.on_commands_answered(machine, commands)
 
     def on_machine_deleted(self, name: str, now_us: int, wall_us: int) -> None:
@@ -133,19 +133,19 @@
         self.lifecycle.on_delete_failed(name, now_us)
 
     def on_job_changed(self, job_id: str, now_us: int, wall_us: int, by_owner: bool = False) -> None:
-        """Follow a change of a job's records; ``by_owner``: of a placement record."""
+        """Handle a change of a job's records; ``by_owner``: of a placement record."""
         self.state.on_job_changed(job_id, now_us, wall_us, by_owner)
 
-    def on_process_pause(self, gap_us: int, now_us: int) -> None:
-        """Leave a time in which this process stood still out of the machines' silence."""
-        self.state.on_process_pause(gap_us, now_us)
+    def on_process_pause(self, pause_us: int, now_us: int) -> None:
+        """Exclude a pause of this process from the machines' silence."""
+        self.state.on_process_pause(pause_us, now_us)
 
     def request_drain(self, name: str, reason: str, wall_us: int) -> None:
-        """Record that a machine is to be emptied and deleted."""
+        """Write a drain record, so that the machine is drained and deleted."""
         self.state.request_drain(name, reason, wall_us)
 
     def stop(self, attempt: TaskAttempt, grace_us: int, now_us: int, actions: ShardActions) -> None:
-        """Tell an attempt to stop within its grace."""
+        """Send a stop command with a grace to an attempt."""
         self.state.stop(attempt, grace_us, now_us, actions)
 
     def has_writes(self, now_us: int) -> bool:
@@ -157,15 +157,15 @@
         return self.committer.gather_commit(now_us, wall_us)
 
     def on_committed(self, batch: GroupCommit, revision: int, actions: ShardActions) -> None:
-        """Note that a group commit is in the state service, and add the commands that it permits."""
+        """Note that a group commit was applied, and add the commands that it permits."""
         self.committer.on_committed(batch, revision, actions)
 
     def on_rejected(
         self, batch: GroupCommit, now_us: int, wall_us: int, unchanged: bool, failed: Collection[str] = ()
     ) -> None:
-        """Go back to what is committed; see ``GroupCommitter.on_rejected``."""
+        """Restore the committed state; see ``GroupCommitter.on_rejected``."""
         self.committer.on_rejected(batch, now_us, wall_us, unchanged, failed)
 
     def on_malformed(self, batch: GroupCommit, now_us: int, wall_us: int) -> None:
-        """Write what was in a transaction that the state service never takes one by one."""
+        """Split up a group commit that is malformed; see ``GroupCommitter.on_malformed``."""
         self.committer.on_malformed(batch, now_us, wall_us)
--- a/pearstep/shard/placement_drafts.py
+++ b/pearstep/shard/placement_drafts.py
@@ -1,4 +1,4 @@
-"""The owner's working copy of placement records, and the writes that carry it to the state service."""
+"""Working copies of placement records, and the group commits that write them to the state service."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
         spec: The job.
         chunk: Number of the chunk, of ``TASKS_PER_RECORD`` tasks each.
         key: Key of the record.
-        attempts: What is placed, by task number.
+        attempts: The placed attempts, by task number.
         done_tasks: Bit set of the job's tasks that are done.
-        last_attempt: Highest number of an attempt.
+        last_attempt: Highest attempt number so far.
         consecutive_failures: Failures since the last success.
-        version: Version of the committed record; 0: none.
-        dirty: Whether there is something to write.
-        in_flight: Whether a group commit with it is under way.
+        version: Version of the committed record; 0 if there is none.
+        dirty: Whether the draft has changes to write.
+        in_flight: Whether a group commit that contains it has been sent and not answered.
         written_at_us: When it was last put into a group commit.
-        most_new: New placements in one transaction at most; None: as many as fit. Set when one was malformed.
+        max_new_placements: Maximum number of new placements in one transaction, set after a malformed one;
+            None for as many as fit.
     """
 
     __slots__ = (
@@ -38,14 +39,14 @@
         "in_flight",
         "key",
         "last_attempt",
-        "most_new",
+        "max_new_placements",
         "spec",
         "version",
         "written_at_us",
     )
 
     def __init__(self, shard_id: int, spec: JobSpec, chunk: int) -> None:
-        """Start with nothing placed, done or committed."""
+        """Create a draft without placements, done tasks or a committed record."""
         self.spec = spec
         self.chunk = chunk
         self.key = placement_key(shard_id, spec.job_id, chunk)
@@ -57,10 +58,10 @@
         self.dirty = False
         self.in_flight = False
         self.written_at_us = 0
-        self.most_new: int | None = None
+        self.max_new_placements: int | None = None
 
     def to_record(self, left_out: Collection[int] = ()) -> PlacementRecord:
-        """Return the record as it should be stored, without the tasks ``left_out``."""
+        """Return the record to write, without the placements of the tasks ``left_out``."""
         return PlacementRecord(
             placements={
                 task: Placement(attempt.machine, attempt.incarnation, attempt.number, attempt.placed_wall_us)
@@ -73,7 +74,7 @@
         )
 
     def reset(self) -> None:
-        """Go back to a chunk without a committed record."""
+        """Reset the draft to a chunk without a committed record."""
         self.attempts = {}
         self.done_tasks = 0
         self.last_attempt = 0
@@ -81,15 +82,18 @@
         self.dirty = False
 
     def load(self, record: PlacementRecord, version: int, now_us: int, wall_us: int) -> None:
-        """Take over the committed record; attempts that are known already keep what was heard."""
-        known = self.attempts
+        """Load the committed record; attempts that exist already keep their observed state."""
+        previous_attempts = self.attempts
         self.attempts = {}
         for task, placement in record.placements.items():
-            old = known.get(task)
-            if old is not None and (old.machine, old.number) == (placement.machine, placement.attempt):
-                if old.state == AttemptState.PLACING:
-                    old.state = AttemptState.PLACED
-                self.attempts[task] = old
+            previous = previous_attempts.get(task)
+            if previous is not None and (previous.machine, previous.number) == (
+                placement.machine,
+                placement.attempt,
+            ):
+                if previous.state == AttemptState.PLACING:
+                    previous.state = AttemptState.PLACED
+                self.attempts[task] = previous
                 continue
             age_us = max(wall_us - placement.placed_at_us, 0)
             attempt = TaskAttempt(
@@ -111,22 +115,22 @@
 
 
 class GroupCommit:
-    """A group commit: what is written, under which conditions, and what it settles.
+    """A group commit: the writes, their preconditions, and what is done after the commit.
 
     Attributes:
-        preconditions: Versions on which it is conditional, by key; 0: that there is no such key.
-        size: How much of a transaction is taken.
-        puts: Records that are written, and their leases, by key.
-        deletes: Keys that are deleted.
-        drafts: Drafts that are written.
-        placed_attempts: New placements: once they are committed, the tasks may start.
-        recorded_ends: Ends that it records, as machine and task key.
-        finished_jobs: Jobs whose ends it records.
-        partial: Keys of records of which some new placements are left for a later transaction.
+        preconditions: Required versions by key; 0 requires that the key does not exist.
+        size: The part of the transaction limits that is used.
+        puts: Records to write, and their leases, by key.
+        deletes: Keys to delete.
+        drafts: Drafts that the commit writes.
+        placed_attempts: New placements; the tasks may start after the commit.
+        recorded_ends: Ends of attempts that the commit records, as machine name and task key.
+        finished_jobs: Jobs whose ends the commit records.
+        partial_keys: Keys of records with new placements that are left for a later transaction.
     """
 
     def __init__(self, limits: TransactionLimits, shard_key: str, fencing_token: int) -> None:
-        """Start an empty one, conditional on the shard's key being of the version ``fencing_token``."""
+        """Create an empty commit, conditional on the shard's key having the version ``fencing_token``."""
         self.preconditions: dict[str, int] = {shard_key: fencing_token}
         self.size = TransactionSize(limits, [shard_key, fence_key(shard_key)])
         self.puts: dict[str, tuple[Any, int | None]] = {}
@@ -135,7 +139,7 @@
         self.placed_attempts: list[TaskAttempt] = []
         self.recorded_ends: list[tuple[str, tuple[str, int]]] = []
         self.finished_jobs: list[str] = []
-        self.partial: set[str] = set()
+        self.partial_keys: set[str] = set()
 
     @property
     def changes(self) -> int:
@@ -144,5 +148,5 @@
 
     @property
     def keys(self) -> list[str]:
-        """The keys that it would write."""
+        """The keys that the commit writes."""
         return list(dict.fromkeys([*(draft.key for draft in self.drafts), *self.puts, *self.deletes]))
--- a/pearstep/shard/preemption.py
+++ b/pearstep/shard/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which tasks to stop so that a job that may take their place fits."""
+"""Preemption: chooses lower-priority tasks to stop so that blocked work fits."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class PreemptionOption(NamedTuple):
-    """What to stop on one machine so that one more task fits there.
+    """Tasks to stop on one machine so that one more task fits there.
 
     Attributes:
-        price: Tasks stopped, and seconds until the image is there.
-        cost: How little the machine suits the task, among options of the same price.
-        machine_name: Decides between options that are alike.
+        price: Number of tasks stopped plus seconds of image fetch.
+        cost: Placement cost of the machine for the task, which decides between options of the same price.
+        machine_name: Decides between options of the same price and cost.
         candidate: The machine.
         victims: The tasks to stop.
     """
@@ -33,22 +33,22 @@
     victims: list[TaskAttempt]
 
 
-# The order of options, the best first; candidates and victims are not compared.
+# Sort key of options, the best first; candidates and victims are not compared.
 _option_order = attrgetter("price", "cost", "machine_name")
 
-# One option for each task, several of them perhaps on one machine.
+# One option for each task; several options may be on the same machine.
 PreemptionPlan = list[PreemptionOption]
 
 
 class Preemption:
-    """One look at the machines.
+    """Chooses victims for all blocked work of one placement pass.
 
-    The candidates' free resources are used up as if the jobs that preempt had started; where one fits
-    in resources that become free anyway, nothing is stopped.
+    The preempting tasks are allocated on the candidates as if they had started. Work that fits into
+    resources that become free anyway stops nothing.
     """
 
     def __init__(self, candidates: list[Candidate], machines: Mapping[str, Machine], now_us: int) -> None:
-        """Look at the machines at one time.
+        """Choose among the tasks on the machines at one time.
 
         Args:
             candidates: The machines as the scheduling pass left them; their resources are changed.
@@ -62,7 +62,7 @@
         self._capacity_by_priority: dict[int, CapacityIndex[Candidate, str]] = {}
 
     def choose_victims(self, work: QueuedWork) -> list[TaskAttempt]:
-        """Return the tasks to stop for work that could not start."""
+        """Return the tasks to stop for work that could not start; empty if stopping tasks does not help."""
         spec = work.spec
         count = work.tasks_together
         preemptible = self._preemptible(spec.priority)
@@ -83,18 +83,18 @@
         return victims
 
     def _preemptible(self, priority: int) -> dict[str, list[TaskAttempt]]:
-        """Return the tasks that may be stopped for the priority, by machine.
+        """Return the tasks that may be stopped for work of a priority, by machine.
 
-        The lowest priority goes first, then the tasks that lose the least.
+        The tasks of the lowest priority come first, and among them those that lose the least work.
         """
-        found = self._preemptible_by_priority.get(priority)
-        if found is None:
-            found = self._preemptible_by_priority[priority] = {}
+        by_machine = self._preemptible_by_priority.get(priority)
+        if by_machine is None:
+            by_machine = self._preemptible_by_priority[priority] = {}
             for candidate in self.candidates:
                 attempts = self._preemptible_on(self.machines[candidate.name], priority)
                 if attempts:
-                    found[candidate.name] = attempts
-        return found
+                    by_machine[candidate.name] = attempts
+        return by_machine
 
     def _preemptible_on(self, machine: Machine, priority: int) -> list[TaskAttempt]:
         attempts = [
@@ -115,9 +115,9 @@
         return attempts
 
     def _capacity(self, priority: int) -> CapacityIndex[Candidate, str]:
-        """Return the index of what would fit if everything that may be stopped were."""
-        found = self._capacity_by_priority.get(priority)
-        if found is None:
+        """Return the index of the capacity that would be free if all preemptible tasks were stopped."""
+        capacity = self._capacity_by_priority.get(priority)
+        if capacity is None:
             preemptible = self._preemptible(priority)
 
             def free_if_preempted(candidate: Candidate) -> FreeResources:
@@ -129,13 +129,13 @@
                     free.allocate(attempt.spec, -1)
                 return free
 
-            found = self._capacity_by_priority[priority] = CapacityIndex(
+            capacity = self._capacity_by_priority[priority] = CapacityIndex(
                 self.candidates, lambda c: c.zone, free_if_preempted
             )
-        return found
+        return capacity
 
     def _best_plan(self, work: QueuedWork, count: int, eligible: list[Candidate]) -> PreemptionPlan | None:
-        """Return the plan of the lowest price, over the zones if the tasks must stay in one."""
+        """Return the plan with the lowest price, over all zones if the tasks need a single zone."""
         spec = work.spec
         if not spec.one_zone:
             return self._plan(work, count, eligible)
@@ -150,29 +150,29 @@
         return best
 
     def _apply(self, work: QueuedWork, plan: PreemptionPlan) -> list[TaskAttempt]:
-        """Enter the plan into the candidates; return the tasks to stop."""
+        """Apply the plan to the candidates' free resources; return the tasks to stop."""
         victims: list[TaskAttempt] = []
         for option in plan:
             candidate = option.candidate
             for attempt in option.victims:
                 candidate.free.allocate(attempt.spec, -1)
                 victims.append(attempt)
-                self._forget(candidate.name, attempt)
+                self._remove_preemptible(candidate.name, attempt)
             candidate.free.allocate(work.spec)
             for capacity in self._capacity_by_priority.values():
                 capacity.update(candidate)
         return victims
 
-    def _forget(self, machine_name: str, attempt: TaskAttempt) -> None:
-        """Take a task that is stopped out of those that may be stopped."""
+    def _remove_preemptible(self, machine_name: str, attempt: TaskAttempt) -> None:
+        """Remove a task that is stopped from the preemptible tasks."""
         for preemptible in self._preemptible_by_priority.values():
             if attempt in preemptible.get(machine_name, ()):
                 preemptible[machine_name].remove(attempt)
 
     def _plan(self, work: QueuedWork, count: int, candidates: list[Candidate]) -> PreemptionPlan | None:
-        """Plan machines for ``count`` tasks with what to stop on each: few stops, and the image near.
+        """Plan machines for ``count`` tasks with the tasks to stop on each, preferring low prices.
 
-        After each choice only the chosen machine is looked at again.
+        After each choice only the chosen machine's option is computed again.
 
         Returns:
             The plan; None if the tasks don't all fit.
@@ -180,14 +180,16 @@
         spec = work.spec
         preemptible = self._preemptible(spec.priority)
         plan: PreemptionPlan = []
-        # Attempts that the plan stops already, by identity.
+        # Identities of the attempts that the plan already stops.
         planned: set[int] = set()
         tasks_by_zone: dict[str, int] = {}
         zone_limit = max_tasks_per_zone(spec)
         free_by_machine: dict[str, FreeResources] = {}
         options: dict[str, PreemptionOption] = {}
         for candidate in candidates:
-            option = _option(work, candidate, candidate.free, preemptible.get(candidate.name, []), planned)
+            option = _best_option(
+                work, candidate, candidate.free, preemptible.get(candidate.name, []), planned
+            )
             if option is not None:
                 options[candidate.name] = option
         while len(plan) < count:
@@ -203,7 +205,7 @@
                 free.allocate(attempt.spec, -1)
                 planned.add(id(attempt))
             free.allocate(spec)
-            next_option = _option(work, candidate, free, preemptible.get(name, []), planned)
+            next_option = _best_option(work, candidate, free, preemptible.get(name, []), planned)
             if next_option is None:
                 del options[name]
             else:
@@ -211,21 +213,21 @@
         return plan
 
 
-def _option(
+def _best_option(
     work: QueuedWork,
     candidate: Candidate,
     free: FreeResources,
     preemptible: list[TaskAttempt],
     planned: set[int],
 ) -> PreemptionOption | None:
-    """Return what to stop on this machine so that one more task fits; None if nothing would do.
+    """Return the tasks to stop on this machine so that one more task fits; None if it never fits.
 
     Args:
         work: The work that preempts.
         candidate: The machine.
         free: Its free resources in the plan so far; not changed.
-        preemptible: The tasks there that may be stopped, in the order in which they are.
-        planned: Identities of the attempts that the plan stops already.
+        preemptible: The tasks there that may be stopped, in the order in which they are stopped.
+        planned: Identities of the attempts that the plan already stops.
     """
     victims = _victims_on(work, free, preemptible, planned)
     if victims is None:
@@ -237,7 +239,7 @@
 def _victims_on(
     work: QueuedWork, free: FreeResources, preemptible: list[TaskAttempt], planned: set[int]
 ) -> list[TaskAttempt] | None:
-    """Return the first tasks whose stop lets one more task fit; None if it never fits."""
+    """Return the first preemptible tasks that make room for one more task; None if it never fits."""
     victims: list[TaskAttempt] = []
     if free.fits(work.spec):
         return victims
@@ -253,6 +255,6 @@
 
 
 def _price(plan: PreemptionPlan, work: QueuedWork) -> float:
-    """Return the number of tasks stopped plus the seconds until the last image is there."""
+    """Return the number of tasks stopped plus the seconds of the longest image fetch."""
     stops = sum(len(option.victims) for option in plan)
     return stops + max(option.candidate.fetch_us(work.spec) for option in plan) / SECOND_US
--- a/pearstep/shard/shard_state.py
+++ b/pearstep/shard/shard_state.py
@@ -1,4 +1,4 @@
-"""The data of a shard while this node holds it, which the objects that make up its owner share."""
+"""State of a shard on the node that owns it, shared by the components of the shard owner."""
 
 from __future__ import annotations
 
@@ -33,35 +33,35 @@
 
 
 def stop_grace_us(spec: JobSpec) -> int:
-    """Return the grace of an orderly stop in microseconds: time to save, and some for the network."""
+    """Return the grace of an orderly stop in microseconds: the time to save plus a network margin."""
     return spec.save_us + SECOND_US if spec.checkpoint_us else 0
 
 
 class ShardState:
-    """The data of a shard while this node holds it, with what several of the owner's objects do on them.
+    """State of a shard on the node that owns it, with operations used by several components of the owner.
 
     Attributes:
         shard_id: Number of the shard.
         fencing_token: Version of the shard's key in the state service.
-        replica: What is committed, as this node knows it.
+        replica: This node's replica of the committed records.
         machine_types: Types of machines by name.
         config: The owner's settings.
         drafts: Working copies of placement records, by job and chunk.
         machines: The shard's machines by name.
-        backfill: Order of the queues, and memory of the placement passes.
+        backfill: Backfill scheduler, with its state between placement passes.
         delay: Adaptive delay of extra-long jobs.
-        gangs: States of the gangs that have something here, by job.
+        gangs: States of the gangs with tasks in this shard, by job.
         faults: Attribution of failures to machines and jobs.
-        pending_writes: Records of machines and drains that the next group commits write, with their
-            conditions, by key; the record is None for a key that is deleted.
-        jobs_to_finish: When the end of a job that is complete by its records is written, by job.
+        pending_writes: Records of machines and drains for the next group commits, with their conditions, by
+            key; the record is None for a key to delete.
+        jobs_to_finish: Time at which the end of a job that is complete by its records is written, by job.
         placement_backoff_until_us: Time before which no task of a job is placed, by job; set after a
             preemption, and when the job's record could not be written.
         deleted_machines: Names of machines whose deletion the cloud has confirmed.
-        pass_due: Whether something changed that the next placement pass should see at once.
+        pass_due: Whether a change requires a placement pass without delay.
     """
 
-    def __init__(  # noqa: PLR0913  what makes a shard, and both clocks
+    def __init__(  # noqa: PLR0913  the shard's inputs and both clocks
         self,
         shard_id: int,
         fencing_token: int,
@@ -71,7 +71,7 @@
         now_us: int,
         wall_us: int,
     ) -> None:
-        """Take over the shard by the records of ``replica``."""
+        """Restore the shard from the records of ``replica``."""
         self.shard_id = shard_id
         self.fencing_token = fencing_token
         self.replica = replica
@@ -91,7 +91,7 @@
         self._load(now_us, wall_us)
 
     def _load(self, now_us: int, wall_us: int) -> None:
-        """Take over the machines, placements and ends that are committed."""
+        """Restore the committed machines and placements, and schedule the ends of complete jobs."""
         for name, (shard_id, record) in self.replica.machines.items():
             machine_type = self.machine_types.get(record.type)
             if shard_id == self.shard_id and machine_type is not None:
@@ -102,16 +102,17 @@
             for shard_id, chunk in job.placements:
                 if shard_id == self.shard_id:
                     self.reload_draft(self.draft_for(job.spec, chunk), now_us, wall_us)
-        # Seen: the last task of a job over two shards was recorded, all controllers died, and the job,
-        # complete by its records, was never done: an owner only looked when a record changed.
+        # Seen: all controllers failed after the last task of a job in two shards was recorded. The job was
+        # complete by its records but never ended, because owners only checked when a record changed.
         for job in self.replica.open_jobs.values():
             self.schedule_job_end(job, now_us)
 
     def forget_job(self, job_id: str) -> None:
-        """Forget a finished job that has left its records.
+        """Drop the state of a finished job whose records were removed.
 
-        Nothing of it was anywhere by them; what is remembered here all the same was never written, or its
-        end was not: a machine that still reports it is told to stop it, as with any task that nobody knows.
+        By its records none of its tasks was placed any more. Attempts that are still held here were never
+        committed, or their ends were not; a machine that still reports one is told to stop it, as with any
+        unknown task.
         """
         for key in [key for key in self.drafts if key[0] == job_id]:
             for attempt in self.drafts.pop(key).attempts.values():
@@ -125,24 +126,25 @@
         self.faults.forget_job(job_id)
 
     def schedule_job_end(self, job: Job, now_us: int) -> None:
-        """End a job that is complete by its records.
+        """Schedule the end of a job that is complete by its records.
 
-        The lowest of its shards does, and if that is gone, each other a second later.
+        The lowest shard of the job ends it at once; the others do so a second later, in case the lowest
+        shard has no owner.
         """
         job_id = job.spec.job_id
         if job.state == JobState.QUEUED and job.all_tasks_done and job_id not in self.jobs_to_finish:
-            lowest = min((shard_id for shard_id, _ in job.placements), default=self.shard_id)
-            self.jobs_to_finish[job_id] = now_us if lowest == self.shard_id else now_us + SECOND_US
+            lowest_shard = min((shard_id for shard_id, _ in job.placements), default=self.shard_id)
+            self.jobs_to_finish[job_id] = now_us if lowest_shard == self.shard_id else now_us + SECOND_US
 
     def draft_for(self, spec: JobSpec, chunk: int) -> PlacementDraft:
-        """Return the draft of a chunk of a job's tasks, an empty one if there is none."""
+        """Return the draft of a chunk of a job's tasks; an empty one is created if there is none."""
         draft = self.drafts.get((spec.job_id, chunk))
         if draft is None:
             draft = self.drafts[spec.job_id, chunk] = PlacementDraft(self.shard_id, spec, chunk)
         return draft
 
     def drafts_of(self, spec: JobSpec) -> list[PlacementDraft]:
-        """Return the drafts of a job that there are."""
+        """Return the existing drafts of a job."""
         return [
             draft
             for chunk in range((spec.tasks - 1) // TASKS_PER_RECORD + 1)
@@ -150,15 +152,15 @@
         ]
 
     def reload_draft(self, draft: PlacementDraft, now_us: int, wall_us: int) -> None:
-        """Go back to what is committed. Whatever was decided but not written is decided again."""
+        """Restore a draft from the replica. Uncommitted placements are discarded and decided again."""
         job_id = draft.spec.job_id
-        before = list(draft.attempts.values())
+        previous_attempts = list(draft.attempts.values())
         job = self.replica.jobs.get(job_id)
         if job is None:
             self.forget_job(job_id)
             return
-        # Seen: a gang's end went with a commit that was refused; the gang, complete already, was
-        # running again by the records, and every step of the owner failed from then on.
+        # Seen: the commit with a gang's end was rejected. The gang's state was already complete while its
+        # records said running, and every later pass of the owner failed.
         self.gangs.pop(job_id, None)
         committed = job.placements.get((self.shard_id, draft.chunk))
         if committed is None:
@@ -166,16 +168,16 @@
         else:
             draft.load(committed.record, committed.version, now_us, wall_us)
             self.faults.restore_failures(job_id, draft.consecutive_failures)
-        kept = {id(attempt) for attempt in draft.attempts.values()}
-        for attempt in before:
-            if id(attempt) not in kept and (machine := self.machines.get(attempt.machine)):
+        kept_ids = {id(attempt) for attempt in draft.attempts.values()}
+        for attempt in previous_attempts:
+            if id(attempt) not in kept_ids and (machine := self.machines.get(attempt.machine)):
                 machine.attempts.pop((attempt.name, attempt.number), None)
         for attempt in list(draft.attempts.values()):
             self._restore_attempt(draft, attempt)
         self.pass_due = True
 
     def _restore_attempt(self, draft: PlacementDraft, attempt: TaskAttempt) -> None:
-        """Put a committed attempt on its machine, or drop it with a machine that is gone."""
+        """Add a committed attempt to its machine, or drop it if the machine was deleted."""
         machine = self.machines.get(attempt.machine)
         if machine is not None:
             key = (attempt.name, attempt.number)
@@ -183,13 +185,13 @@
             machine.unrecorded_ends.discard(key)
             machine.tasks_to_forget.discard(key)
         elif attempt.machine in self.deleted_machines or attempt.machine not in self.replica.machines:
-            # A machine's record goes only once the cloud has confirmed that the machine is gone. The end
-            # of what was on it may not have been written: its commit was refused, or the owner died.
+            # A machine's record is deleted only after the cloud has confirmed the machine's deletion. The
+            # ends of its attempts may be missing if their commit was rejected or the owner failed.
             del draft.attempts[attempt.task]
             draft.dirty = True
 
     def on_job_changed(self, job_id: str, now_us: int, wall_us: int, by_owner: bool = False) -> None:
-        """Follow a change of a job's records in the replica; ``by_owner``: of a placement record."""
+        """Handle a change of a job's records in the replica; ``by_owner``: of a placement record."""
         job = self.replica.jobs.get(job_id)
         if job is None:
             self.forget_job(job_id)
@@ -199,30 +201,30 @@
             and (job_id, 0) not in self.drafts
             and not any(shard_id == self.shard_id for shard_id, _ in job.placements)
         ):
-            return  # another shard's work: with many shards that is most of what changes
-        # Placements are written by owners alone: ours were in a pass when they were decided.
+            return  # another shard's job, as most changes are with many shards
+        # Only owners write placement records, and this owner's placements were already part of a pass.
         self.pass_due |= not by_owner
         for (shard_id, chunk), committed in job.placements.items():
             if shard_id != self.shard_id:
                 continue
             draft = self.draft_for(job.spec, chunk)
-            # Only this owner writes here: a newer version is a transaction of ours whose answer was lost.
+            # Only this owner writes this record, so a newer version is its own commit whose answer was lost.
             if committed.version > draft.version and not draft.in_flight:
                 self.reload_draft(draft, now_us, wall_us)
         self.schedule_job_end(job, now_us)
 
-    def on_process_pause(self, gap_us: int, now_us: int) -> None:
-        """Leave a time in which this process stood still out of the machines' silence.
+    def on_process_pause(self, pause_us: int, now_us: int) -> None:
+        """Exclude a pause of this process from the machines' silence.
 
-        Nothing could be heard meanwhile. What our answers kept alive ran on all the same: leases count from
-        the last answer, as ever.
+        No heartbeat could be received during the pause. Leases still count from the last answer, because they
+        continued to run down on the workers.
         """
         for machine in self.machines.values():
-            machine.last_heartbeat_us = min(machine.last_heartbeat_us + gap_us, now_us)
-            machine.last_received_us = min(machine.last_received_us + gap_us, now_us)
+            machine.last_heartbeat_us = min(machine.last_heartbeat_us + pause_us, now_us)
+            machine.last_received_us = min(machine.last_received_us + pause_us, now_us)
 
     def stop(self, attempt: TaskAttempt, grace_us: int, now_us: int, actions: ShardActions) -> None:
-        """Tell an attempt to stop; the command is repeated in answers until it is gone."""
+        """Send a stop command to an attempt; heartbeat answers repeat it until the attempt has ended."""
         if attempt.stop_grace_us is not None and attempt.stop_grace_us <= grace_us:
             return
         attempt.stop_grace_us = grace_us
@@ -232,7 +234,7 @@
             actions.send(attempt.machine, command)
 
     def stop_with_gang(self, attempt: TaskAttempt, grace_us: int, now_us: int, actions: ShardActions) -> None:
-        """Stop a task, and with it its whole gang: all must be told within a short time to save."""
+        """Stop a task, or its whole gang: all tasks of a gang must be told at about the same time to save."""
         if attempt.spec.kind != "gang":
             self.stop(attempt, grace_us, now_us, actions)
             return
@@ -241,27 +243,30 @@
                 self.stop(member, grace_us, now_us, actions)
 
     def request_drain(self, name: str, reason: str, wall_us: int) -> None:
-        """Record that the machine is to be emptied and deleted.
+        """Write a drain record, so that the machine is drained and deleted.
 
-        Nothing is placed there afterwards: placements are conditional on the absence of this key.
+        No task is placed there after the commit: placements are conditional on the absence of this key.
         """
         key = f"d/{name}"
-        known = self.replica.drains.get(name)
+        existing_drain = self.replica.drains.get(name)
         if (
             name in self.deleted_machines
             or key in self.pending_writes
-            or (known is not None and (known.reason == reason or reason not in IMMEDIATE_DRAIN_REASONS))
+            or (
+                existing_drain is not None
+                and (existing_drain.reason == reason or reason not in IMMEDIATE_DRAIN_REASONS)
+            )
         ):
             return
         self.pending_writes[key] = (DrainRecord(reason, wall_us), {})
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Return whether the job is cancelled, or gone."""
+        """Return whether the job is cancelled or has no record any more."""
         job = self.replica.jobs.get(job_id)
         return job is None or job.state == JobState.CANCELLED
 
     def is_partly_placed(self, spec: JobSpec) -> bool:
-        """Return whether placements of a gang are still to be written: none of it starts before all are."""
+        """Return whether a gang has uncommitted placements, so that none of its tasks may start yet."""
         return spec.kind == "gang" and any(
             attempt.state == AttemptState.PLACING
             for draft in self.drafts_of(spec)
