--- a/tests/test_gaps.py
+++ b/tests/test_gaps.py
@@ -1,4 +1,4 @@
-"""What an owner makes of gaps: its own, a machine's that is gone, and answers that overtake each other."""
+"""The shard owner after pauses of its process, lost machines, and answers that overtake each other."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,114 +9,116 @@
 from tests.world import World, spec
 
 
-def test_owner_that_stood_still_does_not_take_its_machines_for_lost():
-    for still in (False, True):
-        w = World()
+def test_process_pause_does_not_count_as_machine_silence():
+    for paused in (False, True):
+        world = World()
         for n in range(4):
-            w.machine(f"m{n}")
-        w.later(12)
-        if still:
-            w.owner.on_process_pause(11 * SECOND_US, w.now)
-        w.run()
-        assert bool(w.view.drains) != still
-    w.later(11)
-    w.run()
-    assert len(w.view.drains) == 4  # but silence after it counts
-
-
-def test_end_of_a_cut_between_zones_is_not_the_end_of_those_heard_last():
-    """Machines of another zone come back one by one; the last of them had been silent for longer than the
-    patience, and was deleted as soon as most others were heard.
+            world.machine(f"m{n}")
+        world.later(12)
+        if paused:
+            world.owner.on_process_pause(11 * SECOND_US, world.now)
+        world.run()
+        assert bool(world.view.drains) != paused
+    world.later(11)
+    world.run()
+    assert len(world.view.drains) == 4  # silence after the pause counts
+
+
+def test_last_machine_to_reconnect_after_a_partition_is_not_deleted():
+    """After a partition, the machines of another zone reconnect one by one. The last one, silent for longer
+    than the limit, was deleted as soon as most others had reported.
     """
-    w = World()
+    world = World()
     for n in range(4):
-        w.machine(f"m{n}", zone="b")
+        world.machine(f"m{n}", zone="b")
     for _ in range(20):
-        w.later(1)
-        w.run()
-    assert not w.view.drains
+        world.later(1)
+        world.run()
+    assert not world.view.drains
     for n in range(3):
-        w.report(f"m{n}", zone="b")
+        world.report(f"m{n}", zone="b")
     for _ in range(10):
-        w.later(1)
+        world.later(1)
         for n in range(3):
-            w.report(f"m{n}", zone="b")
-        w.run()
-        assert not w.view.drains
-    w.later(1)
+            world.report(f"m{n}", zone="b")
+        world.run()
+        assert not world.view.drains
+    world.later(1)
     for n in range(3):
-        w.report(f"m{n}", zone="b")
-    w.run()
-    assert set(w.view.drains) == {"m3"}  # silence after the cut counts
-
-
-def test_lease_that_ran_out_while_the_owner_stood_still_has_run_out():
-    w = World()
-    m, name, number = w.place_one()
-    w.report(m, (name, number, "running"))
-    w.later(20)
-    w.owner.on_process_pause(19 * SECOND_US, w.now)
-    w.step()
-    assert (name, number) not in w.owner.machines[m].attempts
-
-
-def test_place_on_a_machine_that_is_gone_is_freed_by_the_next_owner():
-    w = World()
-    w.machine("m0")
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    ((m, name, number),) = w.starts(w.run())
-    w.put(f"d/{m}", DrainRecord("lost", w.now))
-    # The owner dies after the records of the deleted machine, and before the end of its task, are written.
-    w.ledger.txn({}, {}, [f"d/{m}", f"m/0/{m}"])
-    w.take_over()
+        world.report(f"m{n}", zone="b")
+    world.run()
+    assert set(world.view.drains) == {"m3"}  # silence after the partition counts
+
+
+def test_lease_expires_during_a_process_pause():
+    world = World()
+    m, name, number = world.place_one()
+    world.report(m, (name, number, "running"))
+    world.later(20)
+    world.owner.on_process_pause(19 * SECOND_US, world.now)
+    world.step()
+    assert (name, number) not in world.owner.machines[m].attempts
+
+
+def test_next_owner_frees_the_task_of_a_deleted_machine():
+    world = World()
+    world.machine("m0")
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    ((m, name, number),) = world.starts(world.run())
+    world.put(f"d/{m}", DrainRecord("lost", world.now))
+    # The owner fails after the machine's records are deleted and before the end of its task is written.
+    world.ledger.txn({}, {}, [f"d/{m}", f"m/0/{m}"])
+    world.take_over()
     other = ({"m0", "m1"} - {m}).pop()
-    w.report(other)
-    assert {(o, n) for o, n, _ in w.starts(w.run())} == {(other, name)}
+    world.report(other)
+    assert {(o, n) for o, n, _ in world.starts(world.run())} == {(other, name)}
 
 
-def test_answer_to_a_direct_command_may_overtake_the_answer_with_a_start():
-    w = World()
-    m, name, number = w.place_one()
-    assert ("start", name, number, None) in w.report(m)  # on its way
-    owner = w.owner
+def test_direct_answer_that_overtakes_a_start_does_not_end_the_attempt():
+    world = World()
+    m, name, number = world.place_one()
+    assert ("start", name, number, None) in world.report(m)  # sent, not yet received
+    owner = world.owner
     attempt = owner.machines[m].attempts[name, number]
     attempt.stop_grace_us = 0
-    rep = Heartbeat(m, "127.0.0.1:1", "small", "a", False, 1, w.seqs[m] + 1, owner.fencing_token, None)
-    owner.on_heartbeat(rep, w.now, w.now, direct=True)
+    heartbeat = Heartbeat(
+        m, "127.0.0.1:1", "small", "a", False, 1, world.seqs[m] + 1, owner.fencing_token, None
+    )
+    owner.on_heartbeat(heartbeat, world.now, world.now, direct=True)
     assert owner.machines[m].attempts
-    w.report(m, seq=w.seqs[m] + 2)  # the next report comes after that answer
+    world.report(m, seq=world.seqs[m] + 2)  # the next heartbeat follows that answer
     assert not owner.machines[m].attempts
 
 
-def test_short_task_starts_with_the_answer_to_a_report():
-    w = World()
-    w.machine("m0")
-    w.submit(spec(tasks=1, estimate_us=4 * SECOND_US))
-    assert not w.starts(w.run())
-    (order,) = w.report("m0")
-    assert order[0] == "start"
+def test_short_task_starts_with_the_answer_to_a_heartbeat():
+    world = World()
+    world.machine("m0")
+    world.submit(spec(tasks=1, estimate_us=4 * SECOND_US))
+    assert not world.starts(world.run())
+    (command,) = world.report("m0")
+    assert command[0] == "start"
 
 
-def test_conflict_over_one_job_undoes_nothing_of_the_others():
-    w = World()
-    w.machine("m0", mtype="big")
+def test_conflict_over_one_job_keeps_the_placements_of_others():
+    world = World()
+    world.machine("m0", mtype="big")
     for n in (1, 2, 3):
-        w.submit(spec(f"req-{n}", tasks=1))
-    w.step()
-    batch = w.owner.gather_commit(w.now, w.now)
+        world.submit(spec(f"req-{n}", tasks=1))
+    world.step()
+    batch = world.owner.gather_commit(world.now, world.now)
     assert len(batch.placed_attempts) == 3
-    kept = {a.spec.job_id: a for a in batch.placed_attempts}
-    w.ledger.txn({}, {"r/0/req-2": RouteRecord("")})  # taken away by the leader meanwhile
-    failed = w.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
+    previous = {a.spec.job_id: a for a in batch.placed_attempts}
+    world.ledger.txn({}, {"r/0/req-2": RouteRecord("")})  # the leader withdrew the route in the meantime
+    failed = world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
     assert failed == ["r/0/req-2"]
-    w.catch_up()
-    w.owner.on_rejected(batch, w.now, w.now, unchanged=False, failed=failed)
-    again = w.owner.gather_commit(w.now, w.now)
-    assert {a.spec.job_id for a in again.placed_attempts} == {"req-1", "req-3"}
-    assert all(kept[a.spec.job_id] is a for a in again.placed_attempts)
-    w.owner.on_rejected(again, w.now, w.now, unchanged=True)
-    assert {n for _, n, _ in w.starts(w.commit())} == {"req-1/0", "req-3/0"}
+    world.catch_up()
+    world.owner.on_rejected(batch, world.now, world.now, unchanged=False, failed=failed)
+    retried = world.owner.gather_commit(world.now, world.now)
+    assert {a.spec.job_id for a in retried.placed_attempts} == {"req-1", "req-3"}
+    assert all(previous[a.spec.job_id] is a for a in retried.placed_attempts)
+    world.owner.on_rejected(retried, world.now, world.now, unchanged=True)
+    assert {n for _, n, _ in world.starts(world.commit())} == {"req-1/0", "req-3/0"}
 
 
 steps = st.lists(
@@ -126,56 +128,58 @@
 
 
 @given(steps)
-def test_whatever_gaps_there_are_a_task_has_one_place(events):
-    w = World()
+def test_task_never_runs_on_two_machines(events):
+    world = World()
     for n in range(3):
-        w.machine(f"m{n}")
-    w.submit(spec(tasks=2, checkpoint_us=0))
+        world.machine(f"m{n}")
+    world.submit(spec(tasks=2, checkpoint_us=0))
     running: dict[str, set[tuple[str, int]]] = {f"m{n}": set() for n in range(3)}
     sessions = dict.fromkeys(running, 1)
 
-    def obey(commands, m):
+    def execute(commands, m):
         for action, name, number, _ in commands:
             if action == "start":
-                everywhere = {n for other, on in running.items() if other != m for n, _ in on}
-                assert name not in everywhere
+                names_elsewhere = {
+                    n for other, attempts in running.items() if other != m for n, _ in attempts
+                }
+                assert name not in names_elsewhere
                 running[m].add((name, number))
             elif action == "stop":
                 running[m].discard((name, number))
 
     def report(m):
-        obey(w.report(m, *[(n, k, "running") for n, k in sorted(running[m])], session=sessions[m]), m)
+        execute(world.report(m, *[(n, k, "running") for n, k in sorted(running[m])], session=sessions[m]), m)
 
     def perform(actions):
         for m, commands in actions.commands.items():
-            if w.owner.machines[m].incarnation == sessions[m]:
-                w.owner.on_commands_sent(w.owner.machines[m], commands, w.now)
-                obey(commands, m)
-                w.owner.on_commands_answered(w.owner.machines[m], commands)
+            if world.owner.machines[m].incarnation == sessions[m]:
+                world.owner.on_commands_sent(world.owner.machines[m], commands, world.now)
+                execute(commands, m)
+                world.owner.on_commands_answered(world.owner.machines[m], commands)
 
     for event in events:
         if event == "report":
             for m in running:
                 report(m)
         elif event == "silent":
-            w.later(1)
+            world.later(1)
         elif event == "still":
-            # Longer than a lease: the workers' leases end, for nobody answered them.
-            w.later(20)
+            # The pause is longer than a lease: without answers, the workers' leases expire.
+            world.later(20)
             for m in running:
                 running[m].clear()
                 sessions[m] += 1
-            w.owner.on_process_pause(20 * SECOND_US, w.now)
+            world.owner.on_process_pause(20 * SECOND_US, world.now)
         elif event == "exit":
-            for m, on in running.items():
-                for name, number in sorted(on)[:1]:
-                    on.discard((name, number))
-                    obey(w.report(m, (name, number, "exited", "stopped"), session=sessions[m]), m)
+            for m, attempts in running.items():
+                for name, number in sorted(attempts)[:1]:
+                    attempts.discard((name, number))
+                    execute(world.report(m, (name, number, "exited", "stopped"), session=sessions[m]), m)
         elif event == "new_session":
             sessions["m0"] += 1
             running["m0"].clear()
         elif event == "take_over":
-            w.take_over()
+            world.take_over()
         else:
-            perform(w.step())
-            perform(w.commit())
+            perform(world.step())
+            perform(world.commit())
