--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner's hazards: one place per task, takeover, late messages, cancellations, gangs."""
+"""Failure cases of the shard owner: double starts, takeover, late messages, cancellations, gangs."""
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
@@ -8,256 +8,264 @@
 from tests.world import World, spec
 
 
-def test_commands_follow_their_record():
-    w = World()
-    w.machine("m1")
-    w.submit(spec())
-    w.step()
-    assert w.report("m1") == []  # decided, not recorded: nothing may be commanded
-    actions = w.commit()
-    assert w.starts(actions) == {("m1", "req-1/0", 1), ("m1", "req-1/1", 2)}
-    assert {o[1] for o in w.report("m1") if o[0] == "start"} == {"req-1/0", "req-1/1"}
-
-
-def test_job_is_done_in_the_same_transaction_as_its_last_task_and_reaped_afterwards():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.report("m1", ("req-1/0", 1, "running"))
-    assert w.report("m1", ("req-1/0", 1, "exited", "done")) == []  # not recorded yet: no reap
-    w.run()
-    assert w.view.jobs["req-1"].state == "done"
-    assert ("forget", "req-1/0", 1, None) in w.report("m1", ("req-1/0", 1, "exited", "done"))
-
-
-def test_silence_frees_nothing_before_the_lease_has_certainly_run_out():
-    w = World(machine_silence_us=1000 * SECOND_US)
-    w.machine("m1")
-    w.machine("m2")
-    w.submit(spec(tasks=1))
-    ((machine, _, _),) = w.starts(w.run())
-    w.report(machine, ("req-1/0", 1, "running"))
+def test_start_is_sent_only_after_its_placement_is_committed():
+    world = World()
+    world.machine("m1")
+    world.submit(spec())
+    world.step()
+    assert world.report("m1") == []  # placed but not committed: no command may be sent
+    actions = world.commit()
+    assert world.starts(actions) == {("m1", "req-1/0", 1), ("m1", "req-1/1", 2)}
+    assert {o[1] for o in world.report("m1") if o[0] == "start"} == {"req-1/0", "req-1/1"}
+
+
+def test_job_ends_with_its_last_task_and_the_task_is_forgotten_afterwards():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.report("m1", ("req-1/0", 1, "running"))
+    assert world.report("m1", ("req-1/0", 1, "exited", "done")) == []  # not recorded yet: no forget command
+    world.run()
+    assert world.view.jobs["req-1"].state == "done"
+    assert ("forget", "req-1/0", 1, None) in world.report("m1", ("req-1/0", 1, "exited", "done"))
+
+
+def test_silent_machine_keeps_its_task_until_its_lease_has_certainly_expired():
+    world = World(machine_silence_us=1000 * SECOND_US)
+    world.machine("m1")
+    world.machine("m2")
+    world.submit(spec(tasks=1))
+    ((machine, _, _),) = world.starts(world.run())
+    world.report(machine, ("req-1/0", 1, "running"))
     other = "m2" if machine == "m1" else "m1"
-    w.later(15)
-    w.report(other)
-    assert not w.starts(w.run())
-    w.later(3)
-    w.report(other)
-    assert {m for m, _, _ in w.starts(w.run())} == {other}
-
-
-def test_machine_that_has_not_seen_our_token_is_not_freed_by_time():
-    w = World(machine_silence_us=1000 * SECOND_US)
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.take_over()
-    w.later(500)
-    w.machine("m2")
-    assert not w.starts(w.run())
-    w.report("m1", session=2)  # a later session: the worker has killed everything
-    assert {n for _, _, n in w.starts(w.run())} == {2}
-
-
-def test_unreachable_machine_is_recorded_as_lost_then_deleted_then_freed():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.take_over()
-    w.machine("m2")
-    w.later(11)
-    w.report("m2")
-    w.run()
-    assert w.view.drains["m1"].reason == "lost"
-    assert w.step().machines_to_delete == ["m1"]
-    assert not w.starts(w.run())
-    w.owner.on_machine_deleted("m1", w.now, w.now)
-    w.report("m2")
-    assert {m for m, _, _ in w.starts(w.run())} == {"m2"}
-    assert w.report("m1", ("req-1/0", 1, "running")) == []  # a report that was held back
-
-
-def test_late_report_changes_nothing():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.report("m1", ("req-1/0", 1, "running"), seq=9)
-    w.report("m1", ("req-1/0", 1, "exited", "done"), seq=8)
-    w.run()
-    assert w.view.jobs["req-1"].state == "queued"
-
-
-def test_attempt_with_an_open_direct_start_is_neither_missed_nor_reaped():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    m = w.owner.machines["m1"]
-    w.owner.on_commands_sent(m, [Command(CommandAction.START, "req-1/0", 1)], w.now)
-    w.put("j/req-1", JobRecord(spec(tasks=1), w.now, JobState.CANCELLED, w.now))
-    w.step()
-    w.report("m1")  # without the task: but the start may still be executed
+    world.later(15)
+    world.report(other)
+    assert not world.starts(world.run())
+    world.later(3)
+    world.report(other)
+    assert {m for m, _, _ in world.starts(world.run())} == {other}
+
+
+def test_lease_expiry_does_not_free_tasks_before_the_machine_has_our_token():
+    world = World(machine_silence_us=1000 * SECOND_US)
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.take_over()
+    world.later(500)
+    world.machine("m2")
+    assert not world.starts(world.run())
+    world.report("m1", session=2)  # a new session: the worker has killed all its tasks
+    assert {n for _, _, n in world.starts(world.run())} == {2}
+
+
+def test_silent_machine_is_drained_as_lost_then_deleted_then_its_task_is_freed():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.take_over()
+    world.machine("m2")
+    world.later(11)
+    world.report("m2")
+    world.run()
+    assert world.view.drains["m1"].reason == "lost"
+    assert world.step().machines_to_delete == ["m1"]
+    assert not world.starts(world.run())
+    world.owner.on_machine_deleted("m1", world.now, world.now)
+    world.report("m2")
+    assert {m for m, _, _ in world.starts(world.run())} == {"m2"}
+    assert world.report("m1", ("req-1/0", 1, "running")) == []  # a delayed heartbeat
+
+
+def test_late_heartbeat_changes_nothing():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.report("m1", ("req-1/0", 1, "running"), seq=9)
+    world.report("m1", ("req-1/0", 1, "exited", "done"), seq=8)
+    world.run()
+    assert world.view.jobs["req-1"].state == "queued"
+
+
+def test_attempt_with_an_unanswered_direct_start_is_neither_ended_nor_forgotten():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    m = world.owner.machines["m1"]
+    world.owner.on_commands_sent(m, [Command(CommandAction.START, "req-1/0", 1)], world.now)
+    world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
+    world.step()
+    world.report("m1")  # without the task, but the start may still arrive
     assert m.attempts
-    w.report("m1", ("req-1/0", 1, "exited", "stopped"))
-    w.run()
-    assert w.report("m1", ("req-1/0", 1, "exited", "stopped")) == []
-    w.owner.on_commands_answered(m, [Command(CommandAction.START, "req-1/0", 1)])
-    assert w.report("m1", ("req-1/0", 1, "exited", "stopped")) == [("forget", "req-1/0", 1, None)]
+    world.report("m1", ("req-1/0", 1, "exited", "stopped"))
+    world.run()
+    assert world.report("m1", ("req-1/0", 1, "exited", "stopped")) == []
+    world.owner.on_commands_answered(m, [Command(CommandAction.START, "req-1/0", 1)])
+    assert world.report("m1", ("req-1/0", 1, "exited", "stopped")) == [("forget", "req-1/0", 1, None)]
 
 
 def test_cancelled_task_is_stopped_and_its_machine_deleted_if_it_cannot_confirm():
-    w = World(machine_silence_us=1000 * SECOND_US)
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.report("m1", ("req-1/0", 1, "running"))
-    w.put("j/req-1", JobRecord(spec(tasks=1), w.now, JobState.CANCELLED, w.now))
-    assert ("stop", "req-1/0", 1, 0.0) in w.step().commands["m1"]
-    w.later(21)
-    w.report("m1", ("req-1/0", 1, "running"))
-    w.run()
-    assert w.view.drains["m1"].reason == "stuck"
-    assert w.step().machines_to_delete == ["m1"]
-
-
-def test_placement_loses_against_a_cancellation_that_commits_first():
-    w = World()
-    w.machine("m1")
-    w.submit(spec())
-    w.step()
-    w.ledger.txn({}, {"j/req-1": JobRecord(spec(), w.now, JobState.CANCELLED, w.now)})
-    assert not w.starts(w.commit())
-    assert not w.owner.machines["m1"].attempts
-
-
-def test_placement_loses_against_a_drain_and_against_a_moved_route():
-    w = World()
-    w.machine("m1")
-    w.submit(spec())
-    w.step()
-    w.ledger.txn({}, {"d/m1": DrainRecord("idle", w.now)})
-    assert not w.starts(w.commit())
-    w = World()
-    w.machine("m1")
-    w.submit(spec())
-    w.step()
-    w.ledger.txn({}, {"r/0/req-1": RouteRecord("")})
-    assert not w.starts(w.commit())
-
-
-def test_lost_answer_of_a_commit_is_settled_by_reading():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.step()
-    batch = w.owner.gather_commit(w.now, w.now)
-    w.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
-    w.catch_up()
-    w.owner.on_rejected(batch, w.now, w.now, unchanged=False)
-    assert [o[0] for o in w.report("m1")] == ["start"]  # it was applied: the start is owed
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.step()
-    late = w.owner.gather_commit(w.now, w.now)
-    w.owner.on_rejected(late, w.now, w.now, unchanged=False)
-    w.run()  # decided afresh and written
-    assert isinstance(w.ledger.txn(late.preconditions, {k: v for k, (v, _) in late.puts.items()}), list)
-
-
-def test_gang_with_a_hole_is_stopped_whole_and_restarted_with_the_next_attempt():
-    w = World(machine_silence_us=1000 * SECOND_US)
+    world = World(machine_silence_us=1000 * SECOND_US)
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.report("m1", ("req-1/0", 1, "running"))
+    world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
+    assert ("stop", "req-1/0", 1, 0.0) in world.step().commands["m1"]
+    world.later(21)
+    world.report("m1", ("req-1/0", 1, "running"))
+    world.run()
+    assert world.view.drains["m1"].reason == "stuck"
+    assert world.step().machines_to_delete == ["m1"]
+
+
+def test_placement_fails_if_a_cancellation_commits_first():
+    world = World()
+    world.machine("m1")
+    world.submit(spec())
+    world.step()
+    world.ledger.txn({}, {"j/req-1": JobRecord(spec(), world.now, JobState.CANCELLED, world.now)})
+    assert not world.starts(world.commit())
+    assert not world.owner.machines["m1"].attempts
+
+
+def test_placement_fails_if_a_drain_or_a_moved_route_commits_first():
+    world = World()
+    world.machine("m1")
+    world.submit(spec())
+    world.step()
+    world.ledger.txn({}, {"d/m1": DrainRecord("idle", world.now)})
+    assert not world.starts(world.commit())
+    world = World()
+    world.machine("m1")
+    world.submit(spec())
+    world.step()
+    world.ledger.txn({}, {"r/0/req-1": RouteRecord("")})
+    assert not world.starts(world.commit())
+
+
+def test_unknown_outcome_of_a_commit_is_resolved_from_the_records():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.step()
+    batch = world.owner.gather_commit(world.now, world.now)
+    world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
+    world.catch_up()
+    world.owner.on_rejected(batch, world.now, world.now, unchanged=False)
+    assert [o[0] for o in world.report("m1")] == ["start"]  # the commit was applied, so the task is started
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.step()
+    late_commit = world.owner.gather_commit(world.now, world.now)
+    world.owner.on_rejected(late_commit, world.now, world.now, unchanged=False)
+    world.run()  # placed again and committed
+    assert isinstance(
+        world.ledger.txn(late_commit.preconditions, {k: v for k, (v, _) in late_commit.puts.items()}), list
+    )
+
+
+def test_gang_that_loses_a_task_is_stopped_and_restarted_as_the_next_attempt():
+    world = World(machine_silence_us=1000 * SECOND_US)
     for name in ("m1", "m2"):
-        w.machine(name)
-    w.submit(spec(kind="gang", cpus=20.0, one_zone=True))
-    starts = w.starts(w.run())
+        world.machine(name)
+    world.submit(spec(kind="gang", cpus=20.0, one_zone=True))
+    starts = world.starts(world.run())
     assert {n for _, _, n in starts} == {1} and {m for m, _, _ in starts} == {"m1", "m2"}
-    at = {m: name for m, name, _ in starts}
-    for m, name in at.items():
-        w.report(m, (name, 1, "running"))
-    w.report("m1", session=2)
-    assert ("stop", at["m2"], 1, 0.0) in w.step().commands["m2"]
-    assert not w.starts(w.run())
-    w.report("m2", (at["m2"], 1, "exited", "peers"))
-    assert {n for _, _, n in w.starts(w.run())} == {2}
-
-
-def test_gang_is_done_when_one_task_is_and_mates_keep_their_place_until_they_exit():
-    w = World()
+    task_by_machine = {m: name for m, name, _ in starts}
+    for m, name in task_by_machine.items():
+        world.report(m, (name, 1, "running"))
+    world.report("m1", session=2)
+    assert ("stop", task_by_machine["m2"], 1, 0.0) in world.step().commands["m2"]
+    assert not world.starts(world.run())
+    world.report("m2", (task_by_machine["m2"], 1, "exited", "peers"))
+    assert {n for _, _, n in world.starts(world.run())} == {2}
+
+
+def test_gang_is_done_with_its_first_task_and_others_keep_resources_until_they_exit():
+    world = World()
     for name in ("m1", "m2"):
-        w.machine(name)
-    w.submit(spec(kind="gang", cpus=20.0))
-    at = {m: name for m, name, _ in w.starts(w.run())}
-    w.report("m1", (at["m1"], 1, "exited", "done"))
-    w.run()
-    assert w.view.jobs["req-1"].state == "done"
-    assert w.owner.machines["m2"].free_resources(w.view.machine_reservations).cpus == 12
-
-
-def test_gang_whose_end_was_not_written_is_running_again_and_ends_again():
-    # Seen on a day of the grown padron-abierto-mvd: complete -> forming, in every step.
-    w = World()
-    w.machine("m1")
-    w.submit(spec(kind="gang", cpus=10.0))
-    w.run()
-    w.report("m1", ("req-1/0", 1, "running"), ("req-1/1", 1, "running"))
-    w.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "running"))
-    w.step()
-    batch = w.owner.gather_commit(w.now, w.now)
-    w.owner.on_rejected(batch, w.now, w.now, unchanged=False)
-    w.step()
-    w.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "exited", "done"))
-    w.run()
-    assert w.view.jobs["req-1"].state == "done"
+        world.machine(name)
+    world.submit(spec(kind="gang", cpus=20.0))
+    task_by_machine = {m: name for m, name, _ in world.starts(world.run())}
+    world.report("m1", (task_by_machine["m1"], 1, "exited", "done"))
+    world.run()
+    assert world.view.jobs["req-1"].state == "done"
+    assert world.owner.machines["m2"].free_resources(world.view.machine_reservations).cpus == 12
+
+
+def test_gang_whose_end_was_not_committed_ends_again():
+    # Seen on a day of the grown padron-abierto-mvd: complete -> forming, which is invalid, in every pass.
+    world = World()
+    world.machine("m1")
+    world.submit(spec(kind="gang", cpus=10.0))
+    world.run()
+    world.report("m1", ("req-1/0", 1, "running"), ("req-1/1", 1, "running"))
+    world.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "running"))
+    world.step()
+    batch = world.owner.gather_commit(world.now, world.now)
+    world.owner.on_rejected(batch, world.now, world.now, unchanged=False)
+    world.step()
+    world.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "exited", "done"))
+    world.run()
+    assert world.view.jobs["req-1"].state == "done"
 
 
 def test_spot_notice_saves_the_whole_gang_in_time():
-    w = World()
+    world = World()
     for name in ("m1", "m2"):
-        w.machine(name)
-    w.submit(spec(kind="gang", cpus=20.0))
-    at = {m: name for m, name, _ in w.starts(w.run())}
-    for m, name in at.items():
-        w.report(m, (name, 1, "running"))
-    w.report("m1", (at["m1"], 1, "running"), notice=20 * SECOND_US)
-    w.run()
-    sends = w.step().commands
-    assert sends["m1"][0][:3] == ("stop", at["m1"], 1) and sends["m1"][0][3] >= 2
-    assert sends["m2"][0][:3] == ("stop", at["m2"], 1) and sends["m2"][0][3] >= 2
-
-
-def test_stranger_on_a_machine_is_stopped_and_not_started_elsewhere():
-    w = World()
-    w.machine("m1")
-    w.machine("m2")
-    orders = w.report("m1", ("req-1/0", 7, "running"))
-    assert orders == [("stop", "req-1/0", 7, 0.0)]
-    w.submit(spec(tasks=1))
-    assert not w.starts(w.run())
-    w.report("m1")
-    assert w.starts(w.run())
-
-
-def test_second_new_owner_continues_what_the_first_recorded():
-    w = World()
-    w.machine("m1")
-    w.submit(spec())
-    w.run()
-    w.take_over()
-    orders = w.report("m1", ("req-1/0", 1, "running"))
-    assert orders == [("start", "req-1/1", 2, None)]
-
-
-def test_a_job_that_was_complete_when_its_owners_died_is_ended_by_the_next():
+        world.machine(name)
+    world.submit(spec(kind="gang", cpus=20.0))
+    task_by_machine = {m: name for m, name, _ in world.starts(world.run())}
+    for m, name in task_by_machine.items():
+        world.report(m, (name, 1, "running"))
+    world.report("m1", (task_by_machine["m1"], 1, "running"), notice=20 * SECOND_US)
+    world.run()
+    commands_by_machine = world.step().commands
+    assert (
+        commands_by_machine["m1"][0][:3] == ("stop", task_by_machine["m1"], 1)
+        and commands_by_machine["m1"][0][3] >= 2
+    )
+    assert (
+        commands_by_machine["m2"][0][:3] == ("stop", task_by_machine["m2"], 1)
+        and commands_by_machine["m2"][0][3] >= 2
+    )
+
+
+def test_unknown_task_on_a_machine_is_stopped_and_not_started_elsewhere():
+    world = World()
+    world.machine("m1")
+    world.machine("m2")
+    commands = world.report("m1", ("req-1/0", 7, "running"))
+    assert commands == [("stop", "req-1/0", 7, 0.0)]
+    world.submit(spec(tasks=1))
+    assert not world.starts(world.run())
+    world.report("m1")
+    assert world.starts(world.run())
+
+
+def test_next_owner_starts_what_the_previous_one_placed():
+    world = World()
+    world.machine("m1")
+    world.submit(spec())
+    world.run()
+    world.take_over()
+    commands = world.report("m1", ("req-1/0", 1, "running"))
+    assert commands == [("start", "req-1/1", 2, None)]
+
+
+def test_next_owner_ends_a_job_that_was_complete_when_its_owners_failed():
     for lowest in (True, False):
         world = World()
         world.put("j/req-1", JobRecord(spec(tasks=3), world.now))
         world.put("p/1/req-1/0" if lowest else "p/0/req-1/0", PlacementRecord({}, "4", 1))
         world.put("p/0/req-1/0" if lowest else "p/1/req-1/0", PlacementRecord({}, "3", 2))
-        # Both owners die before either has heard of the other's last record. Whoever takes a part looks.
+        # Both owners fail before either has read the other's last record. The next owner must check.
         world.owner.jobs_to_finish.clear()
         world.take_over()
         world.run()
@@ -268,276 +276,281 @@
 
 
 def test_machines_of_a_zone_that_fall_silent_together_are_not_deleted():
-    w = World()
+    world = World()
     for n in range(4):
-        w.machine(f"m{n}", zone="b")
-    w.machine("x", zone="a")
-    w.later(11)
-    w.run()
-    assert set(w.view.drains) == {"x"}
+        world.machine(f"m{n}", zone="b")
+    world.machine("x", zone="a")
+    world.later(11)
+    world.run()
+    assert set(world.view.drains) == {"x"}
 
 
-def test_errors_of_several_jobs_condemn_the_machine_but_a_faulty_job_condemns_none():
-    w = World()
+def test_failures_of_several_jobs_drain_a_machine_but_those_of_one_job_do_not():
+    world = World()
     for n in range(4):
-        w.machine(f"m{n}")
-    for ref in ("req-1", "req-2"):
-        w.submit(spec(ref, tasks=1, types=("small",)))
-    w.run()
-    for ref in ("req-1", "req-2"):
-        a = next(a for m in w.owner.machines.values() for a in m.attempts.values() if a.spec.job_id == ref)
-        w.owner.completion.record_end(w.owner.machines["m0"], a, "error", w.now, w.now)
-    w.run()
-    assert w.view.drains["m0"].reason == "sick"
-    w = World()
+        world.machine(f"m{n}")
+    for job_id in ("req-1", "req-2"):
+        world.submit(spec(job_id, tasks=1, types=("small",)))
+    world.run()
+    for job_id in ("req-1", "req-2"):
+        a = next(
+            a for m in world.owner.machines.values() for a in m.attempts.values() if a.spec.job_id == job_id
+        )
+        world.owner.completion.record_end(world.owner.machines["m0"], a, "error", world.now, world.now)
+    world.run()
+    assert world.view.drains["m0"].reason == "sick"
+    world = World()
     for n in range(5):
-        w.machine(f"m{n}")
-    w.submit(spec(tasks=1))
+        world.machine(f"m{n}")
+    world.submit(spec(tasks=1))
     for _ in range(6):
-        w.later(40)
+        world.later(40)
         for n in range(5):
-            w.report(f"m{n}")
-        for m, name, number in w.starts(w.run()):
-            w.report(m, (name, number, "exited", "error"))
-    assert not w.view.drains and len(w.owner.faults.failed_machines("req-1")) >= 3
-
-
-def test_a_new_owner_knows_which_images_a_machine_holds():
-    w = World()
-    w.machine("m1")
-    w.submit(spec(tasks=1))
-    w.run()
-    w.report("m1", ("req-1/0", 1, "fetching"))
-    assert not w.owner.machines["m1"].images
-    w.report("m1", ("req-1/0", 1, "running"))
-    w.commit()
-    assert dict(w.take_over().machines["m1"].images) == {"img": 1.0}
-
-
-def test_urgent_gang_takes_the_place_of_lower_priority_tasks_that_save_first():
-    w = World()
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=3))
-    running = [(name, number, "running") for _, name, number in w.starts(w.run())]
-    w.report("m1", *running)
-    w.later(5)  # past what saving takes, short of the next checkpoint
-    w.report("m1", *running)
-    w.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
-    stops = [o for o in w.step().commands["m1"] if o[0] == "stop"]
+            world.report(f"m{n}")
+        for m, name, number in world.starts(world.run()):
+            world.report(m, (name, number, "exited", "error"))
+    assert not world.view.drains and len(world.owner.faults.failed_machines("req-1")) >= 3
+
+
+def test_new_owner_restores_the_images_of_a_machine():
+    world = World()
+    world.machine("m1")
+    world.submit(spec(tasks=1))
+    world.run()
+    world.report("m1", ("req-1/0", 1, "fetching"))
+    assert not world.owner.machines["m1"].images
+    world.report("m1", ("req-1/0", 1, "running"))
+    world.commit()
+    assert dict(world.take_over().machines["m1"].images) == {"img": 1.0}
+
+
+def test_urgent_gang_preempts_lower_priority_tasks_which_save_first():
+    world = World()
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=3))
+    running = [(name, number, "running") for _, name, number in world.starts(world.run())]
+    world.report("m1", *running)
+    world.later(5)  # longer than a save takes, before the next checkpoint
+    world.report("m1", *running)
+    world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
+    stops = [o for o in world.step().commands["m1"] if o[0] == "stop"]
     assert len(stops) == 2 and all(grace >= 2 for _, _, _, grace in stops)
-    assert not w.step().commands  # what is on its way out is not stopped twice, and nothing more is
-    stays = next(
+    assert not world.step().commands  # no second stop for stopping tasks, and no further stops
+    remaining = next(
         (a.name, a.number, "running")
-        for a in w.owner.machines["m1"].attempts.values()
+        for a in world.owner.machines["m1"].attempts.values()
         if a.stop_grace_us is None
     )
-    w.report("m1", stays, *[(name, n, "exited", "stopped") for _, name, n, _ in stops])
-    assert {name for _, name, _ in w.starts(w.run())} == {"req-2/0"}
+    world.report("m1", remaining, *[(name, n, "exited", "stopped") for _, name, n, _ in stops])
+    assert {name for _, name, _ in world.starts(world.run())} == {"req-2/0"}
 
 
 def test_same_priority_is_not_preempted():
-    w = World()
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=3))
-    w.run()
-    w.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0))
-    assert not w.step().commands
+    world = World()
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=3))
+    world.run()
+    world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0))
+    assert not world.step().commands
 
 
-def test_a_route_taken_back_stops_what_was_placed():
-    w = World()
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=2))
-    w.report("m1", *[(name, number, "running") for _, name, number in w.starts(w.run())])
-    w.put("r/0/req-1", RouteRecord("0"))
-    sends = w.step().commands
-    assert [o[:2] for o in sends["m1"]] == [("stop", "req-1/1")]
+def test_withdrawn_route_stops_the_placed_task():
+    world = World()
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=2))
+    world.report("m1", *[(name, number, "running") for _, name, number in world.starts(world.run())])
+    world.put("r/0/req-1", RouteRecord("0"))
+    commands_by_machine = world.step().commands
+    assert [o[:2] for o in commands_by_machine["m1"]] == [("stop", "req-1/1")]
 
 
 def test_group_commit_keeps_to_the_transaction_limits_when_many_jobs_end_at_once():
-    # Seen on a recorded day: nearly a full transaction of records, each of which ended its job too.
-    w = World(txn_ops=12)
+    # Seen on a recorded day: a nearly full transaction of records, each of which also ended its job.
+    world = World(txn_ops=12)
     for n in range(10):
-        w.machine(f"m{n}")
+        world.machine(f"m{n}")
     for n in range(30):
-        w.submit(spec(f"req-{n}", tasks=1))
+        world.submit(spec(f"req-{n}", tasks=1))
     sizes = []
-    ended = False
-    w.step()
-    while batch := w.owner.gather_commit(w.now, w.now):
+    ends_reported = False
+    world.step()
+    while batch := world.owner.gather_commit(world.now, world.now):
         assert batch.changes <= 12 and len(batch.preconditions) <= 48
         sizes.append(batch.changes)
-        revision = w.ledger.txn(
+        revision = world.ledger.txn(
             batch.preconditions, {k: v for k, (v, _) in batch.puts.items()}, batch.deletes
         )
         assert isinstance(revision, int)
-        w.owner.on_committed(batch, revision, ShardActions())
-        w.catch_up()
-        if not ended and not any(r.dirty for r in w.owner.drafts.values()):
-            ended = True
-            for name, m in w.owner.machines.items():
-                w.report(name, *[(a.name, a.number, "exited", "done") for a in m.attempts.values()])
-    assert all(job.state == "done" for job in w.view.jobs.values()) and max(sizes) == 12
-
-
-def test_decision_by_older_records_is_checked_again_when_it_is_written():
-    # Seen as a task that ran twice: its route moved after the walk and before the group commit, and
-    # the commit's condition named the new route's stamp.
+        world.owner.on_committed(batch, revision, ShardActions())
+        world.catch_up()
+        if not ends_reported and not any(r.dirty for r in world.owner.drafts.values()):
+            ends_reported = True
+            for name, m in world.owner.machines.items():
+                world.report(name, *[(a.name, a.number, "exited", "done") for a in m.attempts.values()])
+    assert all(job.state == "done" for job in world.view.jobs.values()) and max(sizes) == 12
+
+
+def test_placement_is_checked_against_the_current_records_when_it_is_committed():
+    # Seen: a task ran twice, because its route moved between the placement pass and the group commit, and
+    # the commit's condition used the new route's version.
     for key, value in (
         ("r/0/req-1", RouteRecord("1")),
         ("j/req-1", JobRecord(spec(tasks=1), 0, JobState.CANCELLED, 1)),
         ("d/m1", DrainRecord("idle", 1)),
     ):
-        w = World()
-        w.machine("m1")
-        w.submit(spec(tasks=1))
-        w.step()
-        w.put(key, value)
-        assert not w.starts(w.commit())
+        world = World()
+        world.machine("m1")
+        world.submit(spec(tasks=1))
+        world.step()
+        world.put(key, value)
+        assert not world.starts(world.commit())
         assert (
-            not w.owner.machines["m1"].attempts
-            and w.owner.machines["m1"].free_resources(w.view.machine_reservations).cpus == 32
+            not world.owner.machines["m1"].attempts
+            and world.owner.machines["m1"].free_resources(world.view.machine_reservations).cpus == 32
         )
 
 
-def test_owner_keeps_the_room_of_a_wide_gang_and_starts_its_share_once():
-    w = World()
-    w.machine("m1")
+def test_owner_reserves_resources_for_a_cross_shard_gang_and_starts_its_share_once():
+    world = World()
+    world.machine("m1")
     gang = spec("req-1", kind="gang", tasks=4, cpus=20.0)
-    w.submit(gang, RouteRecord("0", None, 3, {0: "m1"}, w.now + 30 * SECOND_US))
-    w.submit(spec("req-2", tasks=1, cpus=20.0, estimate_us=60 * SECOND_US))
-    assert not w.starts(w.run())  # the backfilled task would not end in time
-    w.later(31)
-    w.report("m1")
-    assert w.starts(w.run()) == {("m1", "req-1/0", 3)}
-    w.report("m1", ("req-1/0", 3, "exited", "alone"))
-    assert "req-1/0" not in {name for _, name, _ in w.starts(w.run())}  # the leader plans the next
-
-
-def test_share_of_a_wide_gang_goes_beside_a_machine_that_was_taken_meanwhile():
-    w = World(shard_count=2)
+    world.submit(gang, RouteRecord("0", None, 3, {0: "m1"}, world.now + 30 * SECOND_US))
+    world.submit(spec("req-2", tasks=1, cpus=20.0, estimate_us=60 * SECOND_US))
+    assert not world.starts(world.run())  # the backfilled task would not end before the gang starts
+    world.later(31)
+    world.report("m1")
+    assert world.starts(world.run()) == {("m1", "req-1/0", 3)}
+    world.report("m1", ("req-1/0", 3, "exited", "alone"))
+    assert "req-1/0" not in {name for _, name, _ in world.starts(world.run())}  # the leader plans the retry
+
+
+def test_share_of_a_cross_shard_gang_is_placed_on_a_replacement_machine():
+    world = World(shard_count=2)
     for name in ("m1", "m2"):
-        w.machine(name)
-    w.machine("m3", zone="b")
-    w.submit(spec("req-8", tasks=1, cpus=30.0))
-    taken = w.starts(w.run()).pop()[0]
-    route = RouteRecord("0", None, 1, {0: taken}, w.now)
-    w.submit(spec("req-9", kind="gang", tasks=2, cpus=30.0, one_zone=True), route)
-    free = {"m1": "m2", "m2": "m1"}[taken]
-    assert w.starts(w.run()) == {(free, "req-9/0", 1)}
-
-
-def test_task_that_has_just_saved_gives_way_at_once():
-    w = World()
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=3))
-    running = [(name, number, "running") for _, name, number in w.starts(w.run())]
-    w.report("m1", *running)
-    w.later(11)  # a second after its checkpoint
-    w.report("m1", *running)
-    w.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
-    assert [o[3] for o in w.step().commands["m1"] if o[0] == "stop"] == [0.0, 0.0]
-
-
-def test_a_machine_back_after_its_lease_starts_a_lease_of_its_own():
-    w = World(machine_silence_us=1000 * SECOND_US)
-    w.machine("m1")
-    w.machine("m2")
-    w.later(45)
-    rep = Heartbeat("m1", "127.0.0.1:1", "small", "a", False, 2, 1, w.owner.fencing_token, None)
-    w.owner.on_commands_sent(w.owner.machines["m1"], [], w.now)
-    w.owner.on_heartbeat(rep, w.now, w.now, direct=True)  # nothing of ours renews the lease
-    w.submit(spec(tasks=1))
-    assert {m for m, _, _ in w.starts(w.run())} == {"m1"}
-    w.later(1)
-    w.report("m2")
-    assert not w.starts(w.run())
-
-
-def test_job_whose_task_gave_way_leaves_the_room_alone_for_a_while():
-    w = World()
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=1))
-    w.report("m1", *[(name, n, "running") for _, name, n in w.starts(w.run())])
-    w.submit(spec("req-2", kind="gang", tasks=1, cpus=30.0, priority=1))
-    (stop,) = w.step().commands["m1"]
-    w.put("j/req-2", JobRecord(spec("req-2"), 0, JobState.CANCELLED, 1))
-    w.report("m1", (stop[1], stop[2], "exited", "stopped"))
-    assert not w.starts(w.run())
-    w.later(6)
-    w.report("m1")
-    assert w.starts(w.run())
-
-
-def test_gang_with_time_leaves_accelerators_alone_although_the_image_is_there():
-    def chosen(aim_s):
-        w = World(urgent_classes=frozenset(["c"]), start_objectives={"c": (aim_s * SECOND_US,)})
-        w.machine("gpu", mtype="big")
-        w.submit(spec("req-8", tasks=1, cpus=96.0))
-        w.run()
-        w.report("gpu", ("req-8/0", 1, "running"))
-        w.report("gpu", ("req-8/0", 1, "exited", "done"))
-        w.run()
-        w.machine("plain")
-        w.submit(spec("req-9", kind="gang", tasks=1, image_gb=8.0))
-        return w.starts(w.run())
-
-    assert chosen(10) == {("gpu", "req-9/0", 1)}  # 16 s of fetch against accelerators spared
+        world.machine(name)
+    world.machine("m3", zone="b")
+    world.submit(spec("req-8", tasks=1, cpus=30.0))
+    occupied = world.starts(world.run()).pop()[0]
+    route = RouteRecord("0", None, 1, {0: occupied}, world.now)
+    world.submit(spec("req-9", kind="gang", tasks=2, cpus=30.0, one_zone=True), route)
+    free = {"m1": "m2", "m2": "m1"}[occupied]
+    assert world.starts(world.run()) == {(free, "req-9/0", 1)}
+
+
+def test_task_that_has_just_saved_is_preempted_without_grace():
+    world = World()
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=3))
+    running = [(name, number, "running") for _, name, number in world.starts(world.run())]
+    world.report("m1", *running)
+    world.later(11)  # one second after its checkpoint
+    world.report("m1", *running)
+    world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
+    assert [o[3] for o in world.step().commands["m1"] if o[0] == "stop"] == [0.0, 0.0]
+
+
+def test_new_session_after_an_expired_lease_starts_a_new_lease():
+    world = World(machine_silence_us=1000 * SECOND_US)
+    world.machine("m1")
+    world.machine("m2")
+    world.later(45)
+    heartbeat = Heartbeat("m1", "127.0.0.1:1", "small", "a", False, 2, 1, world.owner.fencing_token, None)
+    world.owner.on_commands_sent(world.owner.machines["m1"], [], world.now)
+    world.owner.on_heartbeat(heartbeat, world.now, world.now, direct=True)  # no answer renews the lease
+    world.submit(spec(tasks=1))
+    assert {m for m, _, _ in world.starts(world.run())} == {"m1"}
+    world.later(1)
+    world.report("m2")
+    assert not world.starts(world.run())
+
+
+def test_preempted_job_is_not_placed_again_for_a_while():
+    world = World()
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=1))
+    world.report("m1", *[(name, n, "running") for _, name, n in world.starts(world.run())])
+    world.submit(spec("req-2", kind="gang", tasks=1, cpus=30.0, priority=1))
+    (stop,) = world.step().commands["m1"]
+    world.put("j/req-2", JobRecord(spec("req-2"), 0, JobState.CANCELLED, 1))
+    world.report("m1", (stop[1], stop[2], "exited", "stopped"))
+    assert not world.starts(world.run())
+    world.later(6)
+    world.report("m1")
+    assert world.starts(world.run())
+
+
+def test_gang_with_a_long_start_objective_avoids_accelerators_despite_their_image():
+    def chosen(objective_s):
+        world = World(urgent_classes=frozenset(["c"]), start_objectives={"c": (objective_s * SECOND_US,)})
+        world.machine("gpu", mtype="big")
+        world.submit(spec("req-8", tasks=1, cpus=96.0))
+        world.run()
+        world.report("gpu", ("req-8/0", 1, "running"))
+        world.report("gpu", ("req-8/0", 1, "exited", "done"))
+        world.run()
+        world.machine("plain")
+        world.submit(spec("req-9", kind="gang", tasks=1, image_gb=8.0))
+        return world.starts(world.run())
+
+    assert chosen(10) == {("gpu", "req-9/0", 1)}  # 16 s of image fetch outweigh keeping accelerators free
     assert chosen(80) == {("plain", "req-9/0", 1)}
 
 
-def test_overdue_array_starts_one_task_before_what_came_later():
-    w = World(first_start_within_us=240 * SECOND_US)
-    w.machine("m0")
-    w.submit(spec("req-1", tasks=9, priority=3))
-    w.later(130)
-    w.machine("m0")
-    w.submit(spec("req-2", tasks=9, priority=2))
-    started = {name for _, name, _ in w.starts(w.run())}
+def test_overdue_array_starts_one_task_before_later_jobs():
+    world = World(first_start_within_us=240 * SECOND_US)
+    world.machine("m0")
+    world.submit(spec("req-1", tasks=9, priority=3))
+    world.later(130)
+    world.machine("m0")
+    world.submit(spec("req-2", tasks=9, priority=2))
+    started = {name for _, name, _ in world.starts(world.run())}
     assert started == {"req-1/0", "req-2/0", "req-2/1"}
 
 
-def test_place_whose_direct_start_was_lost_is_freed_although_it_is_to_stop():
-    # Seen (rig, seed 1185): the order to stop came before anything was heard of the start; the direct command
-    # had no answer any more, and the place stayed taken for as long as the machine lived.
-    w = World()
-    machine, task, number = w.place_one()
-    m = w.owner.machines[machine]
-    w.owner.on_commands_sent(m, [Command(CommandAction.START, task, number)], w.now)
+def test_stopped_attempt_whose_direct_start_was_lost_is_freed():
+    # Seen (rig, seed 1185): a stop was requested before the direct start was confirmed. The start was never
+    # answered, and the task's resources stayed allocated as long as the machine existed.
+    world = World()
+    machine, task, number = world.place_one()
+    m = world.owner.machines[machine]
+    world.owner.on_commands_sent(m, [Command(CommandAction.START, task, number)], world.now)
     (attempt,) = m.attempts.values()
-    w.owner.stop(attempt, 0, w.now, ShardActions())
-    orders = w.report(machine)
-    assert orders == [("start", task, number, None), ("stop", task, number, 0.0)] and m.attempts
-    w.report(machine, (task, number, "exited", "stopped"))
-    w.run()
-    # Free, and placed anew; the worker is not told to forget what a late start would begin again.
+    world.owner.stop(attempt, 0, world.now, ShardActions())
+    commands = world.report(machine)
+    assert commands == [("start", task, number, None), ("stop", task, number, 0.0)] and m.attempts
+    world.report(machine, (task, number, "exited", "stopped"))
+    world.run()
+    # The task is freed and placed again. The worker must not forget the old attempt: a late start
+    # would run it.
     assert number not in {n for _, n in m.attempts}
-    assert ("forget", task, number, None) not in w.report(machine, (task, number, "exited", "stopped"))
+    assert ("forget", task, number, None) not in world.report(machine, (task, number, "exited", "stopped"))
 
 
 def test_lost_direct_start_of_a_cancelled_job_is_not_sent_again():
-    w = World()
-    machine, task, number = w.place_one()
-    w.owner.on_commands_sent(w.owner.machines[machine], [Command(CommandAction.START, task, number)], w.now)
-    w.put("j/req-1", JobRecord(spec(tasks=1), w.now, JobState.CANCELLED, w.now))
-    w.run()
-    assert w.report(machine) == [("stop", task, number, 0.0)]
-
-
-def test_owner_drops_a_job_that_has_left_its_records_without_being_told():
-    w = World()
-    w.machine("m0")
-    w.machine("m1")
-    w.submit(spec("req-1", tasks=2))
-    w.submit(spec("req-2", kind="gang", tasks=2))
-    w.run()
-    assert {ref for ref, _ in w.owner.drafts} == {"req-1", "req-2"}
-    for ref in ("req-1", "req-2"):
-        w.ledger.txn({}, {}, [f"j/{ref}"])
-    w.ledger.feed(w.view, w.now)
-    w.step()
-    assert not w.owner.drafts and not w.owner.gangs
-    assert not any(m.attempts for m in w.owner.machines.values())
+    world = World()
+    machine, task, number = world.place_one()
+    world.owner.on_commands_sent(
+        world.owner.machines[machine], [Command(CommandAction.START, task, number)], world.now
+    )
+    world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
+    world.run()
+    assert world.report(machine) == [("stop", task, number, 0.0)]
+
+
+def test_owner_drops_a_job_whose_record_was_removed():
+    world = World()
+    world.machine("m0")
+    world.machine("m1")
+    world.submit(spec("req-1", tasks=2))
+    world.submit(spec("req-2", kind="gang", tasks=2))
+    world.run()
+    assert {job_id for job_id, _ in world.owner.drafts} == {"req-1", "req-2"}
+    for job_id in ("req-1", "req-2"):
+        world.ledger.txn({}, {}, [f"j/{job_id}"])
+    world.ledger.feed(world.view, world.now)
+    world.step()
+    assert not world.owner.drafts and not world.owner.gangs
+    assert not any(m.attempts for m in world.owner.machines.values())
 
 
 def test_typed_command_goes_out_as_the_tuple_of_its_fields():
