--- a/tests/test_fresh.py
+++ b/tests/test_fresh.py
@@ -13,7 +13,7 @@
 
 def send_heartbeat(world, name, sequence, *tasks, token=None, session=1, answered=True):
     """Deliver a heartbeat with the given sequence number, and answer it."""
-    world.seqs[name] = sequence
+    world.last_sequences[name] = sequence
     statuses = [TaskStatus(*t) for t in tasks]
     fencing_token = world.owner.fencing_token if token is None else token
     heartbeat = Heartbeat(
@@ -29,7 +29,7 @@
     """Let machines that get no answers report here once per round over all nodes."""
     for _ in range(int(seconds // every_s)):
         for name in names:
-            send_heartbeat(world, name, world.seqs[name] + sequence_step)
+            send_heartbeat(world, name, world.last_sequences[name] + sequence_step)
         for _ in range(every_s):
             world.later(1)
             world.run()
@@ -45,7 +45,7 @@
     world.later(1)
     world.report("m0")
     world.later(15)
-    send_heartbeat(world, "m0", world.seqs["m0"] + 3)
+    send_heartbeat(world, "m0", world.last_sequences["m0"] + 3)
     assert world.owner.machines["m0"].state == MachineState.UNREACHABLE
     world.submit(spec(tasks=1))
     assert not world.starts(world.run())  # the machine would not receive the start command
@@ -57,11 +57,12 @@
     world = World(machine_silence_us=30 * SECOND_US)
     world.machine("m0")
     world.later(15)
-    send_heartbeat(world, "m0", world.seqs["m0"] + 3)
+    send_heartbeat(world, "m0", world.last_sequences["m0"] + 3)
     world.submit(spec(tasks=1))
     assert not world.starts(world.run())
     world.later(2)
-    send_heartbeat(world, "m0", world.seqs["m0"] + 1)  # the next sequence number proves the previous answer
+    # The next sequence number proves the previous answer.
+    send_heartbeat(world, "m0", world.last_sequences["m0"] + 1)
     assert len(world.starts(world.run())) == 1 and not drain_reasons(world)
 
 
@@ -69,7 +70,7 @@
     world = World(machine_silence_us=30 * SECOND_US)
     world.machine("m0")
     world.later(15)
-    m = send_heartbeat(world, "m0", world.seqs["m0"] + 3)
+    m = send_heartbeat(world, "m0", world.last_sequences["m0"] + 3)
     assert m.state == MachineState.UNREACHABLE
     world.owner.on_commands_sent(m, [], world.now)
     heartbeat = Heartbeat(
--- a/tests/test_gaps.py
+++ b/tests/test_gaps.py
@@ -83,11 +83,11 @@
     attempt = owner.machines[m].attempts[name, number]
     attempt.stop_grace_us = 0
     heartbeat = Heartbeat(
-        m, "127.0.0.1:1", "small", "a", False, 1, world.seqs[m] + 1, owner.fencing_token, None
+        m, "127.0.0.1:1", "small", "a", False, 1, world.last_sequences[m] + 1, owner.fencing_token, None
     )
     owner.on_heartbeat(heartbeat, world.now, world.now, direct=True)
     assert owner.machines[m].attempts
-    world.report(m, seq=world.seqs[m] + 2)  # the next heartbeat follows that answer
+    world.report(m, sequence=world.last_sequences[m] + 2)  # the next heartbeat follows that answer
     assert not owner.machines[m].attempts
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -84,8 +84,8 @@
     world.machine("m1")
     world.submit(spec(tasks=1))
     world.run()
-    world.report("m1", ("req-1/0", 1, "running"), seq=9)
-    world.report("m1", ("req-1/0", 1, "exited", "done"), seq=8)
+    world.report("m1", ("req-1/0", 1, "running"), sequence=9)
+    world.report("m1", ("req-1/0", 1, "exited", "done"), sequence=8)
     world.run()
     assert world.view.jobs["req-1"].state == "queued"
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small world for the core: a ledger with the state service's rules, and machines that report."""
+"""Test harness for shard owners: an in-memory state service, and machines that send heartbeats."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def spec(job_id: str = "req-1", **changes: Any) -> JobSpec:
-    """A job with the given differences from a plain array of two tasks."""
+    """Return the spec of an array of two tasks, with the given changes."""
     values: dict[str, Any] = dict(
         job_id=job_id,
         job_class="c",
@@ -75,7 +75,7 @@
 
 
 class Ledger:
-    """The state service's transactions, without a network."""
+    """The state service's transactions, in memory."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -83,7 +83,7 @@
         self.log: list[tuple[int, str, bytes | None]] = []
 
     def txn(self, conditions: dict[str, int], puts: dict[str, Any], deletes: list[str] | None = None) -> Any:
-        """The new revision, or the keys whose condition failed."""
+        """Apply a transaction; return the new revision, or the keys whose conditions failed."""
         failed = [k for k, v in conditions.items() if self.keys.get(k, (b"", 0))[1] != v]
         if failed:
             return failed
@@ -98,7 +98,7 @@
         return self.revision
 
     def feed(self, view: Replica, now_us: int = 0) -> set[str]:
-        """Bring a view up to date; the keys that changed."""
+        """Bring a replica up to date; return the keys that changed."""
         changed = set()
         for version, key, raw in self.log:
             if version > view.revision and (
@@ -110,7 +110,7 @@
 
 
 def config(**changes: Any) -> ShardOwnerConfig:
-    """An owner's settings."""
+    """Return the settings of a shard owner, with the given changes."""
     values: dict[str, Any] = dict(
         shard_count=1,
         zone="a",
@@ -132,39 +132,39 @@
 
 
 class World:
-    """One shard with its owner, the ledger, and a clock."""
+    """A shard with its owner, the in-memory state service and a clock."""
 
     def __init__(self, ledger: Ledger | None = None, **changes: Any) -> None:
         self.ledger = ledger or Ledger()
         self.view = Replica()
         self.now = 1000 * SECOND_US
-        self.cfg = config(**changes)
-        self.seqs: dict[str, int] = {}
+        self.config = config(**changes)
+        self.last_sequences: dict[str, int] = {}
         self.last_reported_us: dict[str, int] = {}
         self.take_over()
 
     def take_over(self) -> ShardOwner:
-        """A new owner claims the shard."""
+        """Replace the owner by a new one that claims the shard."""
         version = self.view.version_of("part/0")
         revision = self.ledger.txn({"part/0": version}, {"part/0": LeaseHolderRecord("n0")})
         self.ledger.feed(self.view, self.now)
-        self.owner = ShardOwner(0, revision, self.view, TYPES, self.cfg, self.now, self.now)
+        self.owner = ShardOwner(0, revision, self.view, TYPES, self.config, self.now, self.now)
         return self.owner
 
     def put(self, key: str, value: Any) -> None:
-        """Somebody else's write."""
+        """Write a key as another node would."""
         self.ledger.txn({}, {key: value})
         self.catch_up()
 
     def catch_up(self) -> None:
-        """The owner's node hears of all changes."""
+        """Read all changes into the owner's replica, and notify the owner."""
         for key in self.ledger.feed(self.view, self.now):
             kind, *path = key.split("/")
             if kind in "jrp":
                 self.owner.on_job_changed(path[0] if kind == "j" else path[1], self.now, self.now)
 
     def submit(self, job: JobSpec, route: RouteRecord | None = None) -> None:
-        """Accept a job and route all of it here."""
+        """Accept a job and route all its tasks to this shard."""
         self.put(f"j/{job.job_id}", JobRecord(job, self.now))
         self.put(f"r/0/{job.job_id}", route or RouteRecord(f"0-{job.tasks - 1}"))
 
@@ -177,15 +177,15 @@
         mtype: str = "small",
         zone: str = "a",
         notice: int | None = None,
-        seq: int = 0,
+        sequence: int = 0,
     ) -> list[Command]:
-        """A machine reports; the commands it is given."""
+        """Deliver a heartbeat of a machine; return the commands of its answer."""
         silence_us = self.now - self.last_reported_us.get(machine, self.now)
         self.last_reported_us[machine] = self.now
-        if silence_us > 4 * self.cfg.report_us and not seq:
-            # Workers report all the time: the last but one shows that the ones before had their answers.
+        if silence_us > 4 * self.config.report_us and not sequence:
+            # Workers report continuously: an extra heartbeat first confirms the answers to earlier ones.
             self.report(machine, *tasks, token=token, session=session, mtype=mtype, zone=zone, notice=notice)
-        self.seqs[machine] = seq or self.seqs.get(machine, 0) + 1
+        self.last_sequences[machine] = sequence or self.last_sequences.get(machine, 0) + 1
         heartbeat = Heartbeat(
             machine,
             "127.0.0.1:1",
@@ -193,29 +193,29 @@
             zone,
             False,
             session,
-            self.seqs[machine],
+            self.last_sequences[machine],
             self.owner.fencing_token if token is None else token,
             notice,
             [TaskStatus(*t) for t in tasks],
         )
-        known = self.owner.on_heartbeat(heartbeat, self.now, self.now)
-        if known is None:
+        reported_machine = self.owner.on_heartbeat(heartbeat, self.now, self.now)
+        if reported_machine is None:
             return []
-        commands = self.owner.commands_for(known)
-        self.owner.on_heartbeat_answered(known, self.now)
+        commands = self.owner.commands_for(reported_machine)
+        self.owner.on_heartbeat_answered(reported_machine, self.now)
         return commands
 
     def machine(self, name: str, mtype: str = "small", zone: str = "a") -> None:
-        """A machine that is up, recorded and has seen our token."""
+        """Add a machine that is up and recorded and has the owner's token."""
         self.report(name, mtype=mtype, zone=zone)
         self.commit()
 
     def step(self) -> ShardActions:
-        """The owner thinks."""
+        """Run a pass of the owner."""
         return self.owner.run_pass(self.now, self.now)
 
     def commit(self) -> ShardActions:
-        """Write everything that waits; what may be sent then."""
+        """Commit all pending writes; return the actions that the commits permit."""
         actions = ShardActions()
         while batch := self.owner.gather_commit(self.now, self.now):
             values = {k: v for k, (v, _) in batch.puts.items()}
@@ -229,23 +229,23 @@
         return actions
 
     def run(self) -> ShardActions:
-        """Think, then write."""
+        """Run a pass of the owner, then commit; return the actions of the commits."""
         self.step()
         return self.commit()
 
     def later(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the clock."""
         self.now += int(seconds * SECOND_US)
 
     def place_one(self) -> tuple[str, str, int]:
-        """One task on the one machine there is, its start on the way: machine, task, attempt."""
+        """Place one task on the only machine; return the machine, task and attempt of its start."""
         self.machine("m0")
         self.submit(spec(tasks=1))
         (start,) = self.starts(self.run())
         return start
 
     def starts(self, actions: ShardActions) -> set[tuple[str, str, int]]:
-        """The direct starts: machine, task, attempt."""
+        """Return the machine, task and attempt of each direct start."""
         return {
             (machine, command.task, command.attempt)
             for machine, commands in actions.commands.items()
@@ -255,5 +255,5 @@
 
 
 def machine_rec(mtype: str = "small", zone: str = "a", spot: bool = False) -> MachineRecord:
-    """A recorded machine."""
+    """Return the record of a machine."""
     return MachineRecord(mtype, zone, spot, "127.0.0.1:1")
