--- a/pearstep/shard/heartbeats.py
+++ b/pearstep/shard/heartbeats.py
@@ -107,15 +107,16 @@
         """Renew the lease of a new session, and end the attempts of earlier sessions."""
         is_new_session = heartbeat.incarnation > machine.incarnation
         if is_new_session or now_us - machine.lease_renewed_at_us > self.state.config.lease_us:
-            # A session lasts at least one lease from its start, so its lease is counted from this heartbeat.
-            # Seen after a network partition: counted from the last answer before the partition, the lease
-            # of a new session had already expired, and tasks just placed in it were started twice.
+            # A session lasts at least one lease from its start, and one that still reports after a lease has
+            # lasted longer than assumed here, so the lease is counted from this heartbeat. Seen after a
+            # network partition: counted from the last answer before the partition, the lease of a new session
+            # had already expired, and tasks just placed in it were freed and started twice.
             machine.lease_renewed_at_us = now_us
         if is_new_session:
             self._begin_session(machine, heartbeat.incarnation, now_us, wall_us)
 
     def _begin_session(self, machine: Machine, incarnation: int, now_us: int, wall_us: int) -> None:
-        """End all attempts of earlier sessions: the worker's lease expired, and it has killed its tasks."""
+        """End the attempts of earlier sessions: the worker has killed all their tasks."""
         for attempt in [a for a in machine.attempts.values() if a.incarnation < incarnation]:
             self.completion.record_end(machine, attempt, "lost", now_us, wall_us)
         machine.incarnation = incarnation
