--- a/pearstep/shard/heartbeats.py
+++ b/pearstep/shard/heartbeats.py
@@ -116,7 +116,7 @@
             self._begin_session(machine, heartbeat.incarnation, now_us, wall_us)
 
     def _begin_session(self, machine: Machine, incarnation: int, now_us: int, wall_us: int) -> None:
-        """End the attempts of earlier sessions: the worker has killed all their tasks."""
+        """End the attempts of earlier sessions: their lease expired and the worker killed their tasks."""
         for attempt in [a for a in machine.attempts.values() if a.incarnation < incarnation]:
             self.completion.record_end(machine, attempt, "lost", now_us, wall_us)
         machine.incarnation = incarnation
