--- a/pearstep/transport/__init__.py
+++ b/pearstep/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP, rate limits, the key-value store's client, clocks, background tasks and logs."""
+"""HTTP, rate limits, the client of the key-value store, clocks, background tasks and logs."""
--- a/pearstep/transport/clock.py
+++ b/pearstep/transport/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock and the time of day, as whole microseconds."""
+"""The monotonic clock and the wall clock, as whole microseconds."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def wall_us() -> int:
-    """Return the time of day since 1970, in microseconds."""
+    """Return the time since the Unix epoch, in microseconds."""
     return time.time_ns() // 1000
--- a/pearstep/transport/settings_file.py
+++ b/pearstep/transport/settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files in YAML: read, checked, and refused in one line."""
+"""Reads and validates YAML settings files; an error is one line of text."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read_settings(file: str | Path, cls: type[T], error: type[Exception]) -> T:
-    """Read the settings in a file; raise ``error`` with one line that names the file."""
+    """Read the settings in a file; raise ``error`` with one line that names the file if they are invalid."""
     try:
         raw = yaml.safe_load(Path(file).read_text()) or {}
         return msgspec.convert(raw, cls, strict=False)
