--- a/pearstep/transport/background_tasks.py
+++ b/pearstep/transport/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of the event loop that nobody awaits: kept until they end, and what they raise is logged."""
+"""Background tasks of the event loop: references are kept until they end, and exceptions are logged."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class BackgroundTasks:
-    """Keeps references to running tasks: the event loop itself holds only weak ones."""
+    """Keeps references to running tasks, because the event loop holds only weak ones."""
 
     def __init__(self, log: EventLogger) -> None:
-        """Log what a task raises to the given log."""
+        """Start without tasks; exceptions of tasks go to ``log``."""
         self._log = log
         self._running: set[asyncio.Future[Any]] = set()
         self._names: dict[asyncio.Future[Any], str] = {}
 
-    def start(self, work: Coroutine[Any, Any, Any], name: str = "") -> None:
+    def start(self, coroutine: Coroutine[Any, Any, Any], name: str = "") -> None:
         """Run a coroutine as a task of the running event loop.
 
         Args:
-            work: The coroutine.
-            name: What the log calls it if it fails; not named by default.
+            coroutine: The coroutine to run.
+            name: The task's name in the log line of a failure; unnamed by default.
         """
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(coroutine)
         self._running.add(task)
         if name:
             self._names[task] = name
@@ -38,4 +38,6 @@
             return
         error = task.exception()
         if error is not None:
-            self._log.error_of("background task failed", error, **({"task": name} if name else {}))
+            self._log.error_with_traceback(
+                "background task failed", error, **({"task": name} if name else {})
+            )
--- a/pearstep/transport/event_log.py
+++ b/pearstep/transport/event_log.py
@@ -1,8 +1,8 @@
 """Log lines of a controller: an event and its fields, ``shard lease acquired shard=1 fencing_token=87``.
 
-This is the standard library's logging, not structlog, which commands and agents use. Measured on CPython
-3.11, the import of structlog takes 10.7 MB of memory and 85 ms of processor time more; a small site gives a
-controller 146 MB and half a core. The fields are the same.
+This uses the standard library's logging. Commands and agents use structlog, with the same fields. On CPython
+3.11 the import of structlog costs 10.7 MB of memory and 85 ms of CPU time, and a small site gives a
+controller only 146 MB and half a core.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 def render(event: str, fields: Mapping[str, object]) -> str:
-    """Join an event and its fields in one line, in the order in which they are given."""
-    return event + "".join(f" {name}={_value(value)}" for name, value in fields.items())
+    """Return a line with an event and its fields, in the given order."""
+    return event + "".join(f" {name}={_format_value(value)}" for name, value in fields.items())
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.6g}"
     if isinstance(value, bytes):
@@ -31,38 +31,38 @@
 
 
 class EventLogger:
-    """Logs events with fields; a line below the level in force costs no formatting."""
+    """Logs events with fields; lines below the configured level are not formatted."""
 
     def __init__(self, name: str) -> None:
-        """Log under a name, such as ``pearstep.shard``."""
+        """Log to the logger of a name, such as ``pearstep.shard``."""
         self._logger = logging.getLogger(name)
 
     def is_enabled_for(self, level: int) -> bool:
-        """Tell whether lines of a level are written, for fields that cost something to collect."""
+        """Tell whether lines of a level are written, for fields that are expensive to collect."""
         return self._logger.isEnabledFor(level)
 
     def debug(self, event: str, /, **fields: object) -> None:
-        """Log what only a developer asks for."""
+        """Log details for developers."""
         self._log(logging.DEBUG, event, fields)
 
     def info(self, event: str, /, **fields: object) -> None:
-        """Log what operators want to see in normal operation."""
+        """Log an event of normal operation."""
         self._log(logging.INFO, event, fields)
 
     def warning(self, event: str, /, **fields: object) -> None:
-        """Log what goes on by itself, and may need an operator if it lasts."""
+        """Log a problem that usually resolves itself, and needs an operator only if it lasts."""
         self._log(logging.WARNING, event, fields)
 
     def error(self, event: str, /, **fields: object) -> None:
-        """Log what an operator should look at."""
+        """Log a problem that an operator should look at."""
         self._log(logging.ERROR, event, fields)
 
     def exception(self, event: str, /, **fields: object) -> None:
-        """Log a fault in the program, with the traceback of the exception that is handled."""
+        """Log a fault in the program, with the traceback of the exception being handled."""
         self._logger.error("%s", render(event, fields), exc_info=True)
 
-    def error_of(self, event: str, error: BaseException, /, **fields: object) -> None:
-        """Log a fault in the program that was kept, such as a task's, with its traceback."""
+    def error_with_traceback(self, event: str, error: BaseException, /, **fields: object) -> None:
+        """Log a fault in the program with the traceback of ``error``, such as a finished task's exception."""
         self._logger.error("%s", render(event, fields), exc_info=error)
 
     def _log(self, level: int, event: str, fields: Mapping[str, object]) -> None:
--- a/pearstep/transport/log_setup.py
+++ b/pearstep/transport/log_setup.py
@@ -1,6 +1,6 @@
-"""Structured logs on standard error: for people, or as JSON with LOG_FORMAT=json.
+"""Structured logs on standard error, as plain text or, with LOG_FORMAT=json, as JSON.
 
-LOG_LEVEL is as for a controller.
+LOG_LEVEL has the same values as for a controller.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 def configure() -> None:
-    """Set up structlog, and the standard library's logging through it."""
+    """Configure structlog, and format the standard library's logging with it."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO)
     as_json = os.environ.get("LOG_FORMAT") == "json"
-    shared: list[structlog.types.Processor] = [
+    shared_processors: list[structlog.types.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         structlog.processors.format_exc_info,
     ]
-    last: structlog.types.Processor = (
+    renderer: structlog.types.Processor = (
         structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer(colors=False)
     )
     structlog.configure(
-        processors=[*shared, last],
+        processors=[*shared_processors, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
@@ -37,9 +37,9 @@
         structlog.stdlib.ProcessorFormatter(
             processors=[
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
-                last,
+                renderer,
             ],
-            foreign_pre_chain=shared,
+            foreign_pre_chain=shared_processors,
         )
     )
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/tests/test_background_tasks.py
+++ b/tests/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody awaits are kept until they end, and their faults are logged."""
+"""Background tasks are kept alive until they end, and their exceptions are logged."""
 
 import asyncio
 import gc
@@ -8,7 +8,7 @@
 from pearstep.transport.event_log import EventLogger
 
 
-def test_task_survives_a_collection_and_ends():
+def test_task_survives_garbage_collection_and_ends():
     async def run():
         tasks, ended = BackgroundTasks(EventLogger("pearstep.test")), asyncio.Event()
 
@@ -25,7 +25,7 @@
     asyncio.run(run())
 
 
-def test_what_a_task_raises_is_logged_with_its_traceback_and_a_cancelled_task_is_not(caplog):
+def test_exception_of_a_task_is_logged_with_its_traceback_and_cancellation_is_not(caplog):
     async def run():
         tasks = BackgroundTasks(EventLogger("pearstep.test"))
 
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Lines of a controller's log: an event, then its fields."""
+"""Lines of a controller's log: an event followed by its fields."""
 
 import logging
 
@@ -20,7 +20,7 @@
         ({"text": "a\nb"}, r'shard lease acquired text="a\nb"'),
     ],
 )
-def test_a_line_is_an_event_and_its_fields(fields, line):
+def test_a_line_has_the_event_and_its_quoted_fields(fields, line):
     assert render("shard lease acquired", fields) == line
 
 
