--- a/pearstep/transport/http.py
+++ b/pearstep/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP on tornado: a client that keeps connections, and a small server that hands requests to a function."""
+"""HTTP over tornado: a client with persistent connections, and a small server that calls a handler."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
 log = EventLogger("pearstep.http")
 
-# The status of a request without an answer.
+# Status of a request that got no answer.
 NO_ANSWER = 0
-# Idle connections kept to one address.
+# Idle connections kept open to each address.
 MAX_IDLE_CONNECTIONS = 8
 CONNECT_TIMEOUT_S = 2.0
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 MAX_REQUEST_BYTES = 4 * 1024 * 1024
 IDLE_CONNECTION_TIMEOUT_S = 600
-# Connections that wait to be accepted: all agents of a fleet may come at once. The system takes no more than
-# its own limit (on Linux ``net.core.somaxconn``).
+# Connections that wait to be accepted: all agents of a fleet may connect at once. The operating system
+# applies its own limit as well (on Linux ``net.core.somaxconn``).
 BACKLOG = 8192
 # Status, body, headers.
 Answer = tuple[int, bytes, dict[str, str]]
-# What can be answered at once is returned, anything else is awaited.
+# A handler returns its answer if it need not wait for anything, and an awaitable otherwise.
 Handler = Callable[[HTTPServerRequest], Answer | Awaitable[Answer]]
 INTERNAL_ERROR: Answer = (500, b'{"error":"internal"}', {})
 
 
 class _AddressResolver(DefaultLoopResolver):
-    """Resolves IP addresses without a thread, and names as the default one does."""
+    """Resolves IP addresses without a thread, and host names like the default resolver."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
@@ -79,38 +79,38 @@
 
 
 class Client:
-    """Sends requests, on tornado's connections.
+    """Sends requests over tornado's connections.
 
-    Those to the addresses in ``kept`` stay open and are used again: tornado's own client opens one per
-    request, which with a large fleet took more processor time than all decisions. No more than ``most``
-    requests are under way at once to these, and as many to all others: a lease is renewed though a thousand
-    agents do not answer.
+    Connections to ``persistent_addresses`` stay open and are reused: tornado's own client opens one per
+    request, which with a large fleet took more CPU time than all scheduling decisions. At most
+    ``max_requests`` requests run at once to these addresses, and as many to all others, so that a lease is
+    renewed even while a thousand agents do not answer.
     """
 
-    def __init__(self, most: int = 200, kept: Collection[str] = ()) -> None:
-        """Allow ``most`` requests at once; keep connections to the addresses in ``kept``."""
-        self._limit = asyncio.Semaphore(most)
-        self._kept_limit = asyncio.Semaphore(most)
-        self._idle: dict[str, list[IOStream]] = {address: [] for address in kept}
+    def __init__(self, max_requests: int = 200, persistent_addresses: Collection[str] = ()) -> None:
+        """Limit concurrent requests, and keep connections to ``persistent_addresses`` open."""
+        self._limit = asyncio.Semaphore(max_requests)
+        self._persistent_limit = asyncio.Semaphore(max_requests)
+        self._idle: dict[str, list[IOStream]] = {address: [] for address in persistent_addresses}
         self._tcp = TCPClient(_AddressResolver())
         self._params = HTTP1ConnectionParameters(max_body_size=MAX_RESPONSE_BYTES)
 
     async def fetch(
         self, addr: str, method: str, path: str, body: bytes | None = None, timeout_s: float = 4.0
     ) -> tuple[int, bytes]:
-        """Send a request; return status and body, NO_ANSWER if there was none, whatever the reason."""
+        """Send a request; return status and body, or NO_ANSWER and no body after any failure."""
         if method == "POST" and body is None:
             body = b""
         stream: IOStream | None = None
         try:
             idle = self._idle.get(addr)
-            async with self._limit if idle is None else self._kept_limit, asyncio.timeout(timeout_s):
+            async with self._limit if idle is None else self._persistent_limit, asyncio.timeout(timeout_s):
                 while idle and (stream is None or stream.closed()):
                     stream = idle.pop()
                 if stream is None or stream.closed():
                     async with asyncio.timeout(min(timeout_s, CONNECT_TIMEOUT_S)):
                         stream = await self._open(addr)
-                response, reusable = await self._exchange(stream, addr, method, path, body)
+                response, reusable = await self._send_request(stream, addr, method, path, body)
                 if idle is not None and reusable and len(idle) < MAX_IDLE_CONNECTIONS:
                     idle.append(stream)
                     stream = None
@@ -129,7 +129,7 @@
         host, _, port = addr.rpartition(":")
         return await self._tcp.connect(host, int(port), max_buffer_size=MAX_RESPONSE_BYTES)
 
-    async def _exchange(
+    async def _send_request(
         self, stream: IOStream, addr: str, method: str, path: str, body: bytes | None
     ) -> tuple[_Response, bool]:
         """Send one request; return its response, and whether the connection can be used again."""
@@ -141,7 +141,7 @@
         if addr not in self._idle:
             headers["Connection"] = "close"
         response = _Response()
-        # A failed write shows as a response that does not come.
+        # A failed write shows up as a missing response; its exception needs no handling of its own.
         sent = connection.write_headers(RequestStartLine(method, path, "HTTP/1.1"), headers, body or None)
         sent.add_done_callback(lambda done: done.cancelled() or done.exception())
         connection.finish()
@@ -160,7 +160,7 @@
         self._tasks = BackgroundTasks(log)
         self._handler = handler
         self._server = HTTPServer(
-            self._accept,
+            self._handle_request,
             max_body_size=MAX_REQUEST_BYTES,
             idle_connection_timeout=IDLE_CONNECTION_TIMEOUT_S,
             ssl_options=ssl_options,
@@ -170,19 +170,19 @@
         """Begin to accept connections."""
         self._server.listen(port, address=host, backlog=BACKLOG)
 
-    def _accept(self, request: HTTPServerRequest) -> None:
+    def _handle_request(self, request: HTTPServerRequest) -> None:
         try:
             answer = self._handler(request)
         except Exception:
             log.exception("request handler failed", method=request.method, path=request.path)
             answer = INTERNAL_ERROR
         if isinstance(answer, tuple):
-            # Most requests are heartbeats, decided at once: no task of the event loop for those.
+            # Most requests are heartbeats, which are answered without waiting and need no event loop task.
             self._reply(request, answer)
         else:
-            self._tasks.start(self._serve(request, answer))
+            self._tasks.start(self._reply_when_ready(request, answer))
 
-    async def _serve(self, request: HTTPServerRequest, pending: Awaitable[Answer]) -> None:
+    async def _reply_when_ready(self, request: HTTPServerRequest, pending: Awaitable[Answer]) -> None:
         try:
             answer = await pending
         except Exception:
@@ -200,9 +200,9 @@
         )
         try:
             sent = connection.write_headers(ResponseStartLine("HTTP/1.1", status, "x"), all_headers, body)
-            # The other side may be gone.
+            # The client may have disconnected.
             sent.add_done_callback(lambda done: done.cancelled() or done.exception())
             connection.finish()
         except Exception as err:
-            # The other side may be gone, which is no fault here.
+            # The client may have disconnected, which is not a fault of this server.
             log.debug("answer not sent", path=request.path, cause=err)
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""The HTTP client, the rate limiter and the agent gateway, against small emulators."""
+"""The HTTP client, the rate limiter and the agent gateway, against small test servers."""
 
 import asyncio
 from types import SimpleNamespace
@@ -21,70 +21,70 @@
     """Echoes bodies and counts the connections that requests came on."""
 
     def __init__(self, close=False):
-        self.close = close
+        self.closes_connections = close
         self.connections = set()
-        sock, port = bind_unused_port()
+        listener, port = bind_unused_port()
         self.addr = f"127.0.0.1:{port}"
-        self.server = HTTPServer(self.answer)
-        self.server.add_sockets([sock])
+        self.server = HTTPServer(self.echo)
+        self.server.add_sockets([listener])
 
-    def answer(self, request):
-        # Kept as an object: an id may be used again once its connection is gone.
+    def echo(self, request):
+        # Holds the objects, because the id of a closed connection may be reused.
         self.connections.add(request.connection.stream)
-        head = HTTPHeaders({"Content-Length": str(len(request.body))})
-        if self.close:
-            head["Connection"] = "close"
-        request.connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), head, request.body)
+        headers = HTTPHeaders({"Content-Length": str(len(request.body))})
+        if self.closes_connections:
+            headers["Connection"] = "close"
+        request.connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, request.body)
         request.connection.finish()
 
 
-def run(work):
+def run_with_servers(scenario):
     async def main():
-        kept, other, closing = EchoServer(), EchoServer(), EchoServer(close=True)
-        client = Client(10, (kept.addr, closing.addr))
-        await work(client, kept, other, closing)
-        for each in (kept, other, closing):
-            each.server.stop()
-            await each.server.close_all_connections()
+        persistent, other, closing = EchoServer(), EchoServer(), EchoServer(close=True)
+        client = Client(10, (persistent.addr, closing.addr))
+        await scenario(client, persistent, other, closing)
+        for echo_server in (persistent, other, closing):
+            echo_server.server.stop()
+            await echo_server.server.close_all_connections()
 
     asyncio.run(main())
 
 
-def test_connections_to_kept_addresses_are_reused_and_others_are_closed():
-    async def work(client, kept, other, closing):
-        for server, connections in ((kept, 1), (other, 5), (closing, 5)):
+def test_connections_to_persistent_addresses_are_reused_and_others_are_closed():
+    async def scenario(client, persistent, other, closing):
+        for server, connections in ((persistent, 1), (other, 5), (closing, 5)):
             for n in range(5):
                 body = b"%d" % n
                 assert await client.fetch(server.addr, "POST", "/txn", body) == (200, body)
             assert len(server.connections) == connections
 
-    run(work)
+    run_with_servers(scenario)
 
 
 def test_requests_at_the_same_time_do_not_share_a_connection():
-    async def work(client, kept, other, closing):
+    async def scenario(client, persistent, other, closing):
         bodies = [b"%d" % n for n in range(6)]
-        answers = await asyncio.gather(*(client.fetch(kept.addr, "POST", "/txn", b) for b in bodies))
+        answers = await asyncio.gather(*(client.fetch(persistent.addr, "POST", "/txn", b) for b in bodies))
         assert [body for _, body in answers] == bodies
-        assert len(kept.connections) == 6
+        assert len(persistent.connections) == 6
 
-    run(work)
+    run_with_servers(scenario)
 
 
-def test_server_that_refuses_or_has_gone_is_no_answer():
-    async def work(client, kept, other, closing):
-        assert await client.fetch(kept.addr, "GET", "/kv") == (200, b"")
-        kept.server.stop()
-        await kept.server.close_all_connections()
-        assert (await client.fetch(kept.addr, "GET", "/kv"))[0] == NO_ANSWER
-        assert (await client.fetch(kept.addr, "GET", "/kv"))[0] == NO_ANSWER
+def test_request_to_a_stopped_server_returns_no_answer():
+    async def scenario(client, persistent, other, closing):
+        assert await client.fetch(persistent.addr, "GET", "/kv") == (200, b"")
+        persistent.server.stop()
+        await persistent.server.close_all_connections()
+        assert (await client.fetch(persistent.addr, "GET", "/kv"))[0] == NO_ANSWER
+        assert (await client.fetch(persistent.addr, "GET", "/kv"))[0] == NO_ANSWER
 
-    run(work)
+    run_with_servers(scenario)
 
 
-def test_a_kept_address_is_reached_though_agents_that_do_not_answer_use_all_other_requests():
-    # A node that takes over thousands of machines asks all of them at once, and its lease has to be renewed.
-    async def work(client, kept, other, closing):
+def test_persistent_address_is_reached_while_silent_agents_use_up_all_other_requests():
+    # A node that takes over thousands of machines queries all of them at once and must renew its lease.
+    async def scenario(client, persistent, other, closing):
         release = asyncio.Event()
 
         async def silent(reader, writer):
@@ -93,44 +93,46 @@
 
         server = await asyncio.start_server(silent, "127.0.0.1")
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        asked = [asyncio.ensure_future(client.fetch(addr, "POST", "/commands", b"")) for _ in range(25)]
+        pending_requests = [
+            asyncio.ensure_future(client.fetch(addr, "POST", "/commands", b"")) for _ in range(25)
+        ]
         await asyncio.sleep(0.05)
-        answer = await asyncio.wait_for(client.fetch(kept.addr, "POST", "/leases/1/renew", b"x"), 2.0)
-        assert answer == (200, b"x") and not any(one.done() for one in asked)
+        answer = await asyncio.wait_for(client.fetch(persistent.addr, "POST", "/leases/1/renew", b"x"), 2.0)
+        assert answer == (200, b"x") and not any(request.done() for request in pending_requests)
         release.set()
-        assert {status for status, _ in await asyncio.gather(*asked)} == {NO_ANSWER}
+        assert {status for status, _ in await asyncio.gather(*pending_requests)} == {NO_ANSWER}
         server.close()
 
-    run(work)
+    run_with_servers(scenario)
 
 
-def test_urgent_changes_are_taken_in_advance_and_the_rest_waits_the_longer():
+def test_urgent_requests_borrow_tokens_and_other_requests_wait_longer():
     now = 0
-    budget = RateLimiter(10.0, 10.0, lambda: now)
-    assert budget.try_acquire(16.0)  # whoever finds something may take more than there is
-    assert not budget.try_acquire(1.0)
-    assert budget.try_acquire(1.0, URGENT)
+    rate_limiter = RateLimiter(10.0, 10.0, lambda: now)
+    assert rate_limiter.try_acquire(16.0)  # a request may take more tokens than are left
+    assert not rate_limiter.try_acquire(1.0)
+    assert rate_limiter.try_acquire(1.0, URGENT)
     now += 600_000
-    assert not budget.try_acquire(0.0, NORMAL)
+    assert not rate_limiter.try_acquire(0.0, NORMAL)
     now += 200_000
-    assert budget.try_acquire(0.0, NORMAL)
+    assert rate_limiter.try_acquire(0.0, NORMAL)
 
 
 class MisdirectedAgent:
-    """Node n1 of three, and an agent whose shard n0 owns with fencing token 5."""
+    """The gateway of node n1 of three nodes, and an agent whose shard n0 owns with fencing token 5."""
 
-    def __init__(self, detour_s=3):
+    def __init__(self, redirect_s=3):
         self.now = 100 * SECOND_US
         self.replica = Replica()
-        self.hold({0: ("n0", 5), 1: ("n1", 6), 2: ("n2", 7)})
+        self.set_shard_holders({0: ("n0", 5), 1: ("n1", 6), 2: ("n2", 7)})
         self.now += 10 * SECOND_US
         clock = lambda: self.now  # noqa: E731
         self.gateway = AgentGateway(
-            None, self.replica, {}, "n1", 3, [], clock, clock, lambda: None, int(detour_s * SECOND_US)
+            None, self.replica, {}, "n1", 3, [], clock, clock, lambda: None, int(redirect_s * SECOND_US)
         )
         self.name = next(f"i-{n}" for n in range(99) if shard_of(f"i-{n}", 3) == 0)
 
-    def hold(self, holders):
+    def set_shard_holders(self, holders):
         for shard_id, (node, version) in holders.items():
             self.replica.put(
                 f"part/{shard_id}", version, msgspec.json.encode(LeaseHolderRecord(node)), self.now
@@ -156,44 +158,44 @@
         return status, msgspec.json.decode(answer).get("steward")
 
 
-def test_agent_without_an_answer_from_its_node_is_not_redirected_there_at_once():
-    # Seen: a node cut off from its workers; sent back to it they waited four seconds more, of ten.
+def test_agent_that_gets_no_answer_from_the_shard_owner_is_redirected_to_another_node_first():
+    # Seen: a node was cut off from its workers; redirected back to it, they waited four more of ten seconds.
     agent = MisdirectedAgent()
     assert agent.heartbeat(5) == (421, "n2")
     agent.now += 2 * SECOND_US
     assert agent.heartbeat(5) == (421, "n2")
     agent.now += 2 * SECOND_US
-    assert agent.heartbeat(5) == (421, "n0")  # perhaps only one answer was lost
+    assert agent.heartbeat(5) == (421, "n0")  # the owner may have lost only one answer
     agent.now += 7 * SECOND_US
-    assert agent.heartbeat(5) == (421, "n2")  # another time
-    agent.hold({0: ("n2", 9)})
+    assert agent.heartbeat(5) == (421, "n2")  # a new series of misdirected heartbeats
+    agent.set_shard_holders({0: ("n2", 9)})
     assert agent.heartbeat(5) == (421, "n2")
 
 
-def test_agent_that_a_new_holder_has_only_sent_its_token_to_is_redirected_there():
+def test_agent_that_already_has_the_token_of_a_new_owner_is_redirected_to_it():
     agent = MisdirectedAgent()
-    agent.hold({0: ("n2", 9), 2: ("n0", 10)})
+    agent.set_shard_holders({0: ("n2", 9), 2: ("n0", 10)})
     assert agent.heartbeat(9) == (421, "n2")
     agent.now += 4 * SECOND_US
     assert agent.heartbeat(9) == (421, "n2")
     agent.now += 7 * SECOND_US
-    assert agent.heartbeat(9) == (421, "n0")  # it has been with it, and comes back without an answer
+    assert agent.heartbeat(9) == (421, "n0")  # the owner is not new any more and did not answer the agent
 
 
-def test_agent_that_was_not_with_the_holder_yet_is_redirected_to_it():
+def test_agent_without_the_owners_token_is_redirected_to_the_owner():
     agent = MisdirectedAgent()
     assert agent.heartbeat(3) == (421, "n0")
-    agent.hold({0: ("", 8)})
-    assert agent.heartbeat(5) == (421, "n2")  # one of us will have the part, and not the one that gave it up
+    agent.set_shard_holders({0: ("", 8)})
+    assert agent.heartbeat(5) == (421, "n2")  # the shard goes to n1 or n2, not to n0, which released it
     agent.now += 4 * SECOND_US
     assert agent.heartbeat(5) == (503, None)
     agent = MisdirectedAgent()
-    agent.hold({2: ("n0", 8)})
+    agent.set_shard_holders({2: ("n0", 8)})
     agent.now += 10 * SECOND_US
-    assert agent.heartbeat(5) == (503, None)  # there is no third node: the next one, a second later
+    assert agent.heartbeat(5) == (503, None)  # no third node is alive: it retries a second later
 
 
-def test_misdirected_heartbeats_count_each_machine_once_and_of_late():
+def test_count_of_misdirected_heartbeats_has_each_recent_machine_once():
     agent = MisdirectedAgent()
     for _ in range(3):
         agent.heartbeat(5)
@@ -202,19 +204,19 @@
     assert agent.gateway.count_misdirected(6 * SECOND_US) == {}
 
 
-def test_agent_that_knows_a_later_holder_than_this_node_is_not_redirected_by_an_old_replica():
-    # Seen: two nodes without the state service named one another, and 510 tasks died on the way to and fro.
+def test_agent_with_a_later_token_than_a_stale_replica_is_not_redirected():
+    # Seen: two nodes without the state service redirected agents to each other, and 510 tasks were lost.
     agent = MisdirectedAgent()
     assert agent.heartbeat(8) == (503, None)
-    agent.hold({0: ("n2", 8)})
+    agent.set_shard_holders({0: ("n2", 8)})
     assert agent.heartbeat(8) == (421, "n2")
 
 
-def test_owner_that_hears_of_a_later_token_owns_the_shard_no_longer():
-    # An answer with our own token would be dropped, and keep the worker here while its lease runs out.
+def test_owner_that_receives_a_later_token_gives_up_the_shard():
+    # The agent would drop an answer with the older token, and stay with this node until its lease expires.
     agent = MisdirectedAgent()
     agent.gateway.owners[0] = owner = SimpleNamespace(fencing_token=5)
-    # While the state service serves us it is believed, not a worker: its token may be of a state set back.
+    # While the state service is available, it decides: the agent's token may be of a rolled-back state.
     assert agent.heartbeat(9) == (503, None)
     assert agent.gateway.owners == {0: owner}
     agent.gateway.kv_unavailable = lambda: True
@@ -222,8 +224,8 @@
     assert agent.gateway.owners == {}
 
 
-def test_misdirected_heartbeats_of_agents_that_are_not_reached_count_for_nothing():
-    # Seen: the answers of all nodes were lost on the way to a zone, and each owner gave up its parts.
+def test_misdirected_heartbeats_of_unreachable_agents_are_not_counted():
+    # Seen: the answers of all nodes to a zone were lost, and each owner gave up its shards.
     class Client:
         status = 0
 
