--- a/measurements/history_service.py
+++ b/measurements/history_service.py
@@ -260,7 +260,7 @@
     after = (await site.store.list_all("nothing")) or ([], 0)
     revision = after[1]
     while True:
-        found = await site.store.changes(revision, 2000)
+        found = await site.store.read_changes(revision, 2000)
         if isinstance(found, int):
             await asyncio.sleep(0.05)
             continue
--- a/pearstep/cli/state.py
+++ b/pearstep/cli/state.py
@@ -56,7 +56,7 @@
         if listing is None:
             break
         found = {pair.key: bytes(pair.value) for pair in listing[0]}
-        changes = await store.changes(listing[1], 0)
+        changes = await store.read_changes(listing[1], 0)
         if isinstance(changes, int):
             if changes == 410:
                 continue
--- a/pearstep/controller/replica_follower.py
+++ b/pearstep/controller/replica_follower.py
@@ -80,7 +80,7 @@
         """
         sent_us = now_us()
         # Blocks of finished jobs come last, and nothing waits for them.
-        listing = await self.kv.list_all(upto=HISTORY_BLOCK_PREFIX)
+        listing = await self.kv.list_all(end_key=HISTORY_BLOCK_PREFIX)
         if listing is None:
             return False
         pairs, revision = listing
@@ -116,7 +116,7 @@
             await asyncio.sleep(random.uniform(0.2, 0.4))
             return
         sent_us = now_us()
-        changes = await self.kv.changes(self.replica.revision, self.watch_timeout_ms)
+        changes = await self.kv.read_changes(self.replica.revision, self.watch_timeout_ms)
         if isinstance(changes, int):
             if changes == CHANGES_COMPACTED:
                 await self.load()
@@ -195,7 +195,7 @@
     async def _read_changes(self) -> bool:
         """Read all changes at once; False if the state service did not answer."""
         sent_us = now_us()
-        changes = await self.kv.changes(self.replica.revision, 0, urgency=0)
+        changes = await self.kv.read_changes(self.replica.revision, 0, urgency=0)
         if isinstance(changes, int):
             return changes == CHANGES_COMPACTED and await self.load()
         self.apply_changes(changes)
--- a/pearstep/history/reader.py
+++ b/pearstep/history/reader.py
@@ -184,7 +184,7 @@
             self._listed.clear()
         if self.whole:
             return False
-        page = await self.kv.page(HISTORY_BLOCK_PREFIX, self._listed_until, NORMAL)
+        page = await self.kv.read_page(HISTORY_BLOCK_PREFIX, self._listed_until, NORMAL)
         if page is None or loads != self._listed_load:
             await asyncio.sleep(READ_RETRY_S)
             return True
@@ -262,7 +262,7 @@
             return None
         prefix, after = f"{HISTORY_BLOCK_PREFIX}{bucket}/{name}/", None
         while True:
-            page = await self.kv.page(prefix, after, IDLE)
+            page = await self.kv.read_page(prefix, after, IDLE)
             if page is None:
                 return None
             try:
--- a/pearstep/transport/kv_client.py
+++ b/pearstep/transport/kv_client.py
@@ -20,8 +20,8 @@
 class CommitOutcome(StrEnum):
     """How a transaction ended.
 
-    REFUSED: it was not executed, and may be sent again as it is. MALFORMED: it was not executed and never
-    will be: what it writes has to be decided anew, and be less. UNKNOWN: it may have been applied, or may be
+    REFUSED: it was not executed, and may be sent again unchanged. MALFORMED: it was not executed and never
+    will be; the caller has to decide on other, fewer changes. UNKNOWN: it may have been applied, or may be
     applied later. NO_LEASE: it names a lease that has expired.
     """
 
@@ -41,38 +41,38 @@
 _changes = msgspec.json.Decoder(wire.Changes)
 _lease_granted = msgspec.json.Decoder(wire.LeaseGranted)
 
-# One lost answer is no outage.
+# A single lost answer does not count as an outage.
 UNAVAILABLE_AFTER_US = 500_000
-# Keys of a transaction that its log line names.
-LOGGED_KEYS = 6
-# How often a transaction is sent that the state service has no budget for.
+# Keys of a malformed transaction that its log line lists.
+MAX_LOGGED_KEYS = 6
+# Attempts at a transaction that the state service rejects because its rate limit is exceeded.
 MAX_COMMIT_ATTEMPTS = 5
 KEYS_PER_PAGE = 1000
 REQUEST_TIMEOUT_S, PAGE_TIMEOUT_S = 3.0, 5.0
-# Users wait 2 s for an answer: a read for them that takes longer helps nobody.
+# Users wait 2 s for an answer, so a slower read is of no use to them.
 READ_TIMEOUT_S = 1.5
-# How much longer than the wait that it asks for a watch may take, in seconds.
+# Timeout of a watch beyond the wait that it requests.
 WATCH_MARGIN_S = 3
-# The pause after a request over the budget: from, to for urgent requests, to for others; in seconds.
-MIN_BACKOFF_S, URGENT_BACKOFF_S, BACKOFF_S = 0.02, 0.08, 0.25
-# Bytes of a refusal that a log line shows.
-LOGGED_ANSWER_BYTES = 200
+# Random pause after a request over the rate limit: minimum, maximum of urgent and of other requests.
+MIN_BACKOFF_S, MAX_URGENT_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.08, 0.25
+# Bytes of a rejection that a log line shows.
+MAX_LOGGED_ANSWER_BYTES = 200
 
 
 class CommitResult:
-    """How a transaction ended, at which revision, and which keys were in conflict."""
+    """The outcome of a transaction, its revision, and the keys in conflict."""
 
     __slots__ = ("failed", "revision", "state")
 
     def __init__(self, state: str, revision: int = 0, failed: list[str] | None = None) -> None:
-        """Note an outcome, one of ``CommitOutcome``."""
+        """Store an outcome, one of ``CommitOutcome``."""
         self.state = state
         self.revision = revision
         self.failed = failed or []
 
 
-def _read_commit_answer(status: int, data: bytes) -> CommitResult:
-    """Read the answer to a transaction."""
+def _decode_commit_answer(status: int, data: bytes) -> CommitResult:
+    """Decode the answer to a transaction."""
     try:
         if status == 200:
             return CommitResult(CommitOutcome.COMMITTED, _transaction_answer.decode(data).revision)
@@ -89,7 +89,7 @@
 
 
 class KeyValueStore:
-    """Requests of one node to the state service, within its share of the limits."""
+    """Sends one node's requests to the state service, within the node's share of the rate limits."""
 
     def __init__(
         self, client: Client, addr: str, requests: RateLimiter, writes: RateLimiter, now_us: Callable[[], int]
@@ -99,8 +99,8 @@
         Args:
             client: The HTTP client.
             addr: The state service's address, host:port.
-            requests: This node's share of requests.
-            writes: This node's share of changes.
+            requests: The limiter for this node's share of requests.
+            writes: The limiter for this node's share of changes.
             now_us: The monotonic clock in microseconds.
         """
         self._client = client
@@ -109,8 +109,8 @@
         self._writes = writes
         self._now_us = now_us
         self.unavailable_since_us: int | None = None
-        # Transactions that were malformed, too large among them.
-        self.malformed = 0
+        # Number of malformed transactions, including those that were too large.
+        self.malformed_transactions = 0
 
     async def _request(
         self,
@@ -120,7 +120,7 @@
         timeout_s: float = REQUEST_TIMEOUT_S,
         urgency: int = NORMAL,
     ) -> tuple[int, bytes]:
-        """Send a request when it may be sent; return status and body, and note whether it was served."""
+        """Send a request within the rate limit, track the service's availability; return status and body."""
         await self._requests.acquire(1.0, urgency)
         status, data = await self._client.fetch(self._address, method, path, body, timeout_s)
         if status in (503, NO_ANSWER):
@@ -130,8 +130,8 @@
         elif status == 429:
             self._requests.drain()
             log.info("state service rate limit exceeded", path=path)
-            longest_s = URGENT_BACKOFF_S if urgency == URGENT else BACKOFF_S
-            await asyncio.sleep(random.uniform(MIN_BACKOFF_S, longest_s))
+            max_backoff_s = MAX_URGENT_BACKOFF_S if urgency == URGENT else MAX_BACKOFF_S
+            await asyncio.sleep(random.uniform(MIN_BACKOFF_S, max_backoff_s))
         else:
             if self.unavailable_since_us is not None:
                 log.info("state service available again")
@@ -145,54 +145,54 @@
         deletes: list[str] | None = None,
         urgency: int = NORMAL,
     ) -> CommitResult:
-        """Apply a transaction; it is tried again only when it certainly was not executed.
+        """Apply a transaction; it is retried only if it certainly was not executed.
 
         Args:
             conditions: The versions that keys must have; 0: the key does not exist.
             puts: Values by key, each with the lease that it ends with, or None.
             deletes: Keys to delete.
-            urgency: Who goes first in this node's share of the limits.
+            urgency: The priority within this node's share of the limits.
         """
-        removed = deletes or []
-        body = wire.encode_transaction(conditions, puts, removed)
-        changes = len(puts) + len(removed)
+        deleted_keys = deletes or []
+        body = wire.encode_transaction(conditions, puts, deleted_keys)
+        change_count = len(puts) + len(deleted_keys)
         for _ in range(MAX_COMMIT_ATTEMPTS):
-            if changes:
-                await self._writes.acquire(changes, urgency)
+            if change_count:
+                await self._writes.acquire(change_count, urgency)
             status, data = await self._request("POST", wire.TRANSACTION_PATH, body, urgency=urgency)
             if status != 429:
                 break
             self._writes.drain()
-        result = _read_commit_answer(status, data)
+        result = _decode_commit_answer(status, data)
         if result.state == CommitOutcome.MALFORMED:
-            self.malformed += 1
+            self.malformed_transactions += 1
             log.error(
                 "transaction malformed",
-                cause=data[:LOGGED_ANSWER_BYTES],
-                total=self.malformed,
+                cause=data[:MAX_LOGGED_ANSWER_BYTES],
+                total=self.malformed_transactions,
                 conditions=len(conditions),
-                changes=changes,
+                changes=change_count,
                 size_bytes=len(body),
-                keys=[*puts, *removed][:LOGGED_KEYS],
+                keys=[*puts, *deleted_keys][:MAX_LOGGED_KEYS],
             )
         return result
 
     def is_unavailable(self) -> bool:
-        """Tell whether it has not served this node for a while: whoever asks now is told so at once."""
+        """Tell whether the service was unavailable for UNAVAILABLE_AFTER_US, so that callers fail fast."""
         return (
             self.unavailable_since_us is not None
             and self._now_us() - self.unavailable_since_us > UNAVAILABLE_AFTER_US
         )
 
     async def wait_for_write_quota(self) -> None:
-        """Wait until something may be written.
+        """Wait until the rate limit allows a write.
 
-        Whoever gathers its writes only then gathers more of them the scarcer the budget is.
+        A caller that collects its writes after this wait collects larger batches when the limit is tight.
         """
         await self._writes.acquire(0.0)
 
     async def grant_lease(self, ttl_ms: int) -> int | None:
-        """Ask for a new lease; return its id, or None."""
+        """Request a new lease; return its id, or None if none was granted."""
         status, data = await self._request(
             "POST", wire.LEASES_PATH, wire.encode_lease_request(ttl_ms), urgency=URGENT
         )
@@ -204,7 +204,7 @@
             return None
 
     async def renew_lease(self, lease: int) -> bool | None:
-        """Renew a lease; return whether it still stands, None if that is not known."""
+        """Renew a lease; return whether it still exists, or None if that is unknown."""
         status, _ = await self._request(
             "POST", f"{wire.LEASES_PATH}/{lease}/{wire.RENEW_ACTION}", urgency=URGENT
         )
@@ -212,31 +212,33 @@
             return True
         return False if status == 404 else None
 
-    async def list_all(self, prefix: str = "", upto: str = "") -> tuple[list[wire.KeyValue], int] | None:
-        """Read all keys with a prefix, page by page, at least those before ``upto``.
+    async def list_all(self, prefix: str = "", end_key: str = "") -> tuple[list[wire.KeyValue], int] | None:
+        """Read all keys with a prefix, page by page; if ``end_key`` is given, only those before it.
 
         Returns:
             The keys, and the revision of the first page: changes after it may or may not be in later pages,
-            and have to be read again afterwards. None if there is no answer.
+            and have to be read again afterwards. None if a page could not be read.
         """
         pairs: list[wire.KeyValue] = []
         after: str | None = None
         revision: int | None = None
         while True:
-            page = await self.page(prefix, after, URGENT)
+            page = await self.read_page(prefix, after, URGENT)
             if page is None:
                 return None
             if revision is None:
                 revision = page.revision
-            last = page.items[-1].key if page.items else ""
-            past = bool(upto) and last >= upto
-            pairs.extend(page.items if not past else (i for i in page.items if i.key < upto))
-            if not page.more or not page.items or past:
+            last_key = page.items[-1].key if page.items else ""
+            reached_end = bool(end_key) and last_key >= end_key
+            pairs.extend(
+                page.items if not reached_end else (item for item in page.items if item.key < end_key)
+            )
+            if not page.more or not page.items or reached_end:
                 return pairs, revision
-            after = last
+            after = last_key
 
-    async def page(self, prefix: str, after: str | None, urgency: int = IDLE) -> wire.KeyPage | None:
-        """Read one page of the keys with a prefix, beginning after one; None if there is no answer."""
+    async def read_page(self, prefix: str, after: str | None, urgency: int = IDLE) -> wire.KeyPage | None:
+        """Read a page of the keys with a prefix, following the key ``after``; None without an answer."""
         path = wire.key_page_path(prefix, after, KEYS_PER_PAGE)
         status, data = await self._request("GET", path, urgency=urgency, timeout_s=PAGE_TIMEOUT_S)
         try:
@@ -245,7 +247,7 @@
             return None
 
     async def read(self, key: str, urgency: int = URGENT) -> wire.KeyValue | bool:
-        """Read one key; False if it does not exist, True if there is no answer now."""
+        """Read one key; return False if it does not exist, True if there was no answer."""
         status, data = await self._request(
             "GET", f"{wire.KEYS_PATH}/{key}", urgency=urgency, timeout_s=READ_TIMEOUT_S
         )
@@ -257,11 +259,11 @@
             return True
 
     def has_spare_writes(self, changes: int) -> bool:
-        """Tell whether so many changes may be written now with nothing else having to wait for them."""
+        """Tell whether this many changes can be written now without delaying other writes."""
         return self._writes.has_spare(changes)
 
-    async def changes(self, after: int, wait_ms: int, urgency: int = IDLE) -> wire.Changes | int:
-        """Read the changes after a revision, waiting for some; or return the status of a failure."""
+    async def read_changes(self, after: int, wait_ms: int, urgency: int = IDLE) -> wire.Changes | int:
+        """Read the changes after a revision, waiting for one; on failure return the status."""
         status, data = await self._request(
             "GET",
             wire.changes_path(after, wait_ms),
@@ -277,7 +279,7 @@
 
 
 def open_kv_store(client: Client, addr: str, rps: float, write_rps: float) -> KeyValueStore:
-    """Open the state service for a command: with so many requests and changes a second."""
+    """Create a client for a command, with its own limits of requests and of changes per second."""
     return KeyValueStore(
         client, addr, RateLimiter(rps, rps, now_us), RateLimiter(write_rps, write_rps, now_us), now_us
     )
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -92,7 +92,7 @@
         outcome = self.world.apply(body)
         return CommitResult(CommitOutcome.UNKNOWN) if mode == "lost" else outcome
 
-    async def changes(self, after, wait_ms, urgency=1):
+    async def read_changes(self, after, wait_ms, urgency=1):
         log = self.world.keys.changes("", after)
         if self.too_old or log is None:
             self.too_old = False
@@ -103,14 +103,14 @@
         ]
         return wire.Changes(self.world.keys.revision, events)
 
-    async def page(self, prefix, after, urgency=1):
+    async def read_page(self, prefix, after, urgency=1):
         found, more = self.world.keys.page(prefix, after or "", 3)
         pairs = [wire.KeyValue(k, msgspec.Raw(raw), v) for k, v, raw, _ in found]
         return wire.KeyPage(pairs, self.world.keys.revision, more)
 
-    async def list_all(self, prefix="", upto=""):
+    async def list_all(self, prefix="", end_key=""):
         keys = self.world.keys
-        pairs = [wire.KeyValue(k, msgspec.Raw(raw), v) for k, (v, raw, _) in keys.keys.items() if k < upto]
+        pairs = [wire.KeyValue(k, msgspec.Raw(raw), v) for k, (v, raw, _) in keys.keys.items() if k < end_key]
         return pairs, keys.revision
 
     async def read(self, key, urgency=1):
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -59,7 +59,7 @@
     replica = Replica()
 
     async def read_barrier():
-        changes = await kv.changes(replica.revision, 0)
+        changes = await kv.read_changes(replica.revision, 0)
         if isinstance(changes, int):
             return False
         for event in changes.events:
