--- a/pearstep/transport/clock.py
+++ b/pearstep/transport/clock.py
@@ -11,5 +11,5 @@
 
 
 def wall_us() -> int:
-    """Return the time since the Unix epoch, in microseconds."""
+    """Return the time since the Unix epoch (1970), in microseconds."""
     return time.time_ns() // 1000
