--- a/measurements/simulation/platform.py
+++ b/measurements/simulation/platform.py
@@ -196,9 +196,9 @@
         if request.path == "/flavors":
             return (
                 200,
-                wire.offers(
+                wire.encode_machine_types(
                     [
-                        wire.offer(
+                        wire.build_machine_type(
                             t.name, t.cpus, t.gpus, t.memory_gb, t.boot_us / 1e6, t.price, list(t.zones)
                         )
                         for t in self.types.values()
@@ -207,15 +207,15 @@
                 {},
             )
         if request.path == "/hosts/delete":
-            for name in wire.read_delete(request.body).machines:
+            for name in wire.decode_deletion_request(request.body).machines:
                 self.take(name)
             return 200, b"{}", {}
         if request.method == "GET":
             at_s, rows = self.shown[0]
             after = asked(request).get("from", "")
             rows = [r for r in rows if r[0] > after][:500]
-            return 200, wire.listed([(*r[:6], at_s - r[6]) for r in rows], False), {}
-        wish = wire.read_hire(request.body)
+            return 200, wire.encode_machine_page([(*r[:6], at_s - r[6]) for r in rows], False), {}
+        wish = wire.decode_instance_request(request.body)
         if wish.name not in self.hires:
             room = self.capacity - len(self.machines)
             if room <= 0:
@@ -223,4 +223,4 @@
             self.hires[wish.name] = [
                 self.rent(wish.type, wish.zone, wish.spot) for _ in range(min(room, wish.count))
             ]
-        return 200, wire.hired(self.hires[wish.name]), {}
+        return 200, wire.encode_instance_names(self.hires[wish.name]), {}
--- a/pearstep/emulator/cloud.py
+++ b/pearstep/emulator/cloud.py
@@ -216,10 +216,12 @@
     def _types(self, request: HTTPServerRequest) -> Answer:
         """Answer with the machine types on offer."""
         rows = [
-            wire.offer(kind.name, kind.cpus, kind.gpus, kind.memory_gb, kind.boot_s, kind.price, kind.zones)
+            wire.build_machine_type(
+                kind.name, kind.cpus, kind.gpus, kind.memory_gb, kind.boot_s, kind.price, kind.zones
+            )
             for kind in self.kinds.values()
         ]
-        return 200, wire.offers(rows), {}
+        return 200, wire.encode_machine_types(rows), {}
 
     def _list(self, request: HTTPServerRequest) -> Answer:
         """Answer with a page of the oldest snapshot, which is as old as the lag."""
@@ -228,13 +230,13 @@
         taken_at_us, rows = self.shown[0] if self.shown else (0, [])
         rows = sorted(row for row in rows if row[0] > arguments.get("from", ""))
         listed = [(*row[:6], (taken_at_us - row[6]) / 1e6) for row in rows[:limit]]
-        return 200, wire.listed(listed, len(rows) > limit), {}
+        return 200, wire.encode_machine_page(listed, len(rows) > limit), {}
 
     def _hire(self, request: HTTPServerRequest) -> Answer:
         """Rent instances; a request whose name is known gets the same answer again."""
-        rental = wire.read_hire(request.body)
+        rental = wire.decode_instance_request(request.body)
         if rental.name in self.hires:
-            return 200, wire.hired(self.hires[rental.name]), {}
+            return 200, wire.encode_instance_names(self.hires[rental.name]), {}
         kind = self.kinds.get(rental.type)
         if kind is None or rental.zone not in kind.zones or not 1 <= rental.count <= MOST_PER_REQUEST:
             raise ValueError("unknown type or zone, or not 1 to 50 machines")
@@ -251,11 +253,11 @@
             )
             names.append(name)
         self.hires[rental.name] = names
-        return 200, wire.hired(names), {}
+        return 200, wire.encode_instance_names(names), {}
 
     def _delete(self, request: HTTPServerRequest) -> Answer:
         """Delete instances; those that are unknown are passed over."""
-        for name in wire.read_delete(request.body).machines:
+        for name in wire.decode_deletion_request(request.body).machines:
             machine = self.machines.pop(name, None)
             if machine is not None:
                 self.end(machine)
--- a/pearstep/emulator/key_value_store.py
+++ b/pearstep/emulator/key_value_store.py
@@ -10,7 +10,7 @@
 
 from sortedcontainers import SortedDict
 
-from pearstep.protocol.emulator_messages import Op, Txn
+from pearstep.protocol.emulator_messages import Transaction, TransactionOperation
 
 KEPT_CHANGES = 10_000
 MOST_PAGE_BYTES = 512 * 1024
@@ -72,7 +72,7 @@
         self.log: deque[Change] = deque(maxlen=KEPT_CHANGES)
         self.first = 1
 
-    def txn(self, txn: Txn) -> int | list[str]:
+    def txn(self, txn: Transaction) -> int | list[str]:
         """Apply a transaction as a whole, or not at all.
 
         Returns:
@@ -98,7 +98,7 @@
             self._apply(op.put or op.delete or "", None if op.put is None else bytes(op.value), op.lease)
         return self.revision
 
-    def _check(self, op: Op) -> None:
+    def _check(self, op: TransactionOperation) -> None:
         """Raise what is wrong with a change."""
         key = op.put if op.put is not None else op.delete
         if (op.put is None) == (op.delete is None) or not key or len(key) > MOST_KEY_BYTES or " " in key:
--- a/pearstep/emulator/state_service.py
+++ b/pearstep/emulator/state_service.py
@@ -139,9 +139,9 @@
             key = path[4:]
             found = keys.keys.get(key)
             if found is None:
-                return 404, wire.done(keys.revision), {}
+                return 404, wire.encode_revision(keys.revision), {}
             version, value, lease = found
-            return 200, msgspec.json.encode(wire.pair(key, value, version, lease)), {}
+            return 200, msgspec.json.encode(wire.build_key_value(key, value, version, lease)), {}
         if path == "/changes" and method == "GET":
             after, wait_ms = int(arguments["from"]), int(arguments.get("waitMs", 0))
             return await self._changes(arguments.get("starts", ""), after, wait_ms)
@@ -152,22 +152,22 @@
         keys, before = self.keys, self.keys.revision
         if len(body) > MOST_BODY_BYTES:
             raise ValueError("transaction too large")
-        transaction = wire.read_txn(body)
+        transaction = wire.decode_transaction(body)
         if transaction.ops and not self.writes.try_acquire(len(transaction.ops)):
             return 429, b'{"error":"too many changes"}', {}
         outcome = keys.txn(transaction)
         if isinstance(outcome, list):
-            return 409, wire.conflict(outcome, keys.revision), {}
+            return 409, wire.encode_conflict(outcome, keys.revision), {}
         if keys.revision != before:
             self._keep(before)
-        return 200, wire.done(outcome), {}
+        return 200, wire.encode_revision(outcome), {}
 
     def _page(self, arguments: dict[str, str]) -> Answer:
         """Answer with a page of keys."""
         limit = min(int(arguments.get("limit", MOST_PAGE_ROWS)), MOST_PAGE_ROWS)
         rows, more = self.keys.page(arguments.get("starts", ""), arguments.get("from", ""), limit)
-        pairs = [wire.pair(row.key, row.value, row.version, row.lease) for row in rows]
-        return 200, wire.page(pairs, more, self.keys.revision), {}
+        pairs = [wire.build_key_value(row.key, row.value, row.version, row.lease) for row in rows]
+        return 200, wire.encode_key_page(pairs, more, self.keys.revision), {}
 
     async def _changes(self, prefix: str, after: int, wait_ms: int) -> Answer:
         """Answer with the changes after a revision, once there are any or the wait is over."""
@@ -175,10 +175,10 @@
         while True:
             log = self.keys.changes(prefix, after)
             if log is None:
-                return 410, wire.done(self.keys.revision), {}
+                return 410, wire.encode_revision(self.keys.revision), {}
             left_s = (until_us - now_us()) / 1e6
             if log or left_s <= 0:
-                return 200, wire.changes(log, self.keys.revision), {}
+                return 200, wire.encode_changes(log, self.keys.revision), {}
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.news.wait(), left_s)
 
@@ -186,19 +186,23 @@
         """Answer a request to grant, renew or end a lease."""
         keys, before = self.keys, self.keys.revision
         if path == "/leases" and method == "POST":
-            lease_request = wire.read_lease(request.body)
+            lease_request = wire.decode_lease_request(request.body)
             if not LEAST_TTL_MS <= lease_request.ttl_ms <= MOST_TTL_MS:
                 raise ValueError("ttlMs is 100 to 600,000")
             lease = keys.grant(lease_request.ttl_ms * 1000, now_us())
             self._keep(before)
-            return 200, wire.granted(lease), {}
+            return 200, wire.encode_lease(lease), {}
         number, _, verb = path.removeprefix("/leases/").partition("/")
         if not path.startswith("/leases/") or not number.isdigit():
             return 404, b'{"error":"no such path"}', {}
         if verb == "renew" and method == "POST":
-            return (200 if keys.renew(int(number), now_us()) else 404), wire.done(keys.revision), {}
+            return (
+                (200 if keys.renew(int(number), now_us()) else 404),
+                wire.encode_revision(keys.revision),
+                {},
+            )
         if not verb and method == "DELETE":
             was_there = keys.end(int(number))
             self._keep(before)
-            return (200 if was_there else 404), wire.done(keys.revision), {}
+            return (200 if was_there else 404), wire.encode_revision(keys.revision), {}
         return 405, b'{"error":"method not allowed"}', {}
--- a/pearstep/protocol/emulator_messages.py
+++ b/pearstep/protocol/emulator_messages.py
@@ -1,4 +1,4 @@
-"""The platform's side of the protocol, for emulators of the state service and the cloud."""
+"""The platform's side of the protocol, for the emulators of the state service and the cloud."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Condition(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
-    """A key and the version that it must have; 0: it does not exist."""
+    """A key and the version that it must have; 0 if it must not exist."""
 
     key: str
     version: int
 
 
-class Op(msgspec.Struct, rename={"lease": "tenancy"}):
-    """A put with its value and perhaps a lease, or a delete."""
+class TransactionOperation(msgspec.Struct, rename={"lease": "tenancy"}):
+    """A put with its value and optional lease, or a delete."""
 
     put: str | None = None
     delete: str | None = None
@@ -23,20 +23,20 @@
     lease: int | None = None
 
 
-class Txn(msgspec.Struct, rename={"conditions": "when", "ops": "then"}):
-    """A transaction."""
+class Transaction(msgspec.Struct, rename={"conditions": "when", "ops": "then"}):
+    """A transaction: operations that are executed if all conditions hold."""
 
     conditions: list[Condition] = []
-    ops: list[Op] = []
+    ops: list[TransactionOperation] = []
 
 
-class LeaseWish(msgspec.Struct, rename={"ttl_ms": "ttlMs"}):
+class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "ttlMs"}):
     """A request for a lease."""
 
     ttl_ms: int
 
 
-class Hire(
+class InstanceRequest(
     msgspec.Struct,
     rename={"name": "hire", "type": "breed", "zone": "plot", "spot": "windfall", "count": "howMany"},
 ):
@@ -49,43 +49,43 @@
     count: int
 
 
-class Delete(msgspec.Struct, rename={"machines": "trees"}):
-    """Machines to delete."""
+class DeletionRequest(msgspec.Struct, rename={"machines": "trees"}):
+    """A request to delete machines."""
 
     machines: list[str]
 
 
-read_txn = msgspec.json.Decoder(Txn).decode
-read_lease = msgspec.json.Decoder(LeaseWish).decode
-read_hire = msgspec.json.Decoder(Hire).decode
-read_delete = msgspec.json.Decoder(Delete).decode
+decode_transaction = msgspec.json.Decoder(Transaction).decode
+decode_lease_request = msgspec.json.Decoder(LeaseRequest).decode
+decode_instance_request = msgspec.json.Decoder(InstanceRequest).decode
+decode_deletion_request = msgspec.json.Decoder(DeletionRequest).decode
 
 
-def done(revision: int) -> bytes:
-    """Encode the answer to a transaction that was applied."""
+def encode_revision(revision: int) -> bytes:
+    """Encode an answer with a revision alone, such as that to an applied transaction."""
     return msgspec.json.encode({"ledger": revision})
 
 
-def conflict(failed: list[str], revision: int) -> bytes:
-    """Encode the answer to a transaction in conflict: the keys whose conditions failed."""
+def encode_conflict(failed: list[str], revision: int) -> bytes:
+    """Encode the answer to a transaction in conflict, with the keys whose conditions failed."""
     return msgspec.json.encode({"failed": failed, "ledger": revision})
 
 
-def pair(key: str, value: bytes, version: int, lease: int | None) -> dict[str, Any]:
-    """Return a key as it is listed."""
-    listed_pair: dict[str, Any] = {"path": key, "value": msgspec.Raw(value), "stamp": version}
+def build_key_value(key: str, value: bytes, version: int, lease: int | None) -> dict[str, Any]:
+    """Return the fields of a key with its value, as in a page of keys."""
+    fields: dict[str, Any] = {"path": key, "value": msgspec.Raw(value), "stamp": version}
     if lease is not None:
-        listed_pair["tenancy"] = lease
-    return listed_pair
+        fields["tenancy"] = lease
+    return fields
 
 
-def page(pairs: list[dict[str, Any]], more: bool, revision: int) -> bytes:
+def encode_key_page(pairs: list[dict[str, Any]], more: bool, revision: int) -> bytes:
     """Encode a page of keys."""
     return msgspec.json.encode({"pairs": pairs, "hasNext": more, "ledger": revision})
 
 
-def changes(log: list[tuple[int, str, bytes | None]], revision: int) -> bytes:
-    """Encode changes: version, key, and value, None for a delete."""
+def encode_changes(log: list[tuple[int, str, bytes | None]], revision: int) -> bytes:
+    """Encode changes, each with version, key and value; the value of a delete is None."""
     events: list[dict[str, Any]] = []
     for version, key, value in log:
         if value is None:
@@ -95,15 +95,15 @@
     return msgspec.json.encode({"ledger": revision, "log": events})
 
 
-def granted(lease: int) -> bytes:
+def encode_lease(lease: int) -> bytes:
     """Encode the answer to a request for a lease."""
     return msgspec.json.encode({"tenancy": lease})
 
 
-def offer(  # noqa: PLR0913 - one field of the message each
+def build_machine_type(  # noqa: PLR0913 - one field of the message each
     name: str, cpus: float, gpus: float, memory_gb: float, boot_s: float, price: float, zones: list[str]
 ) -> dict[str, Any]:
-    """Return a machine type on offer."""
+    """Return the fields of a machine type on offer."""
     return {
         "sku": name,
         "vcpus": cpus,
@@ -118,17 +118,17 @@
     }
 
 
-def offers(types: list[dict[str, Any]]) -> bytes:
-    """Encode all machine types."""
+def encode_machine_types(types: list[dict[str, Any]]) -> bytes:
+    """Encode the machine types on offer."""
     return msgspec.json.encode({"breeds": types})
 
 
-def hired(names: list[str]) -> bytes:
+def encode_instance_names(names: list[str]) -> bytes:
     """Encode the answer to an instance request: the names of the new machines."""
     return msgspec.json.encode({"trees": names})
 
 
-def listed(rows: list[tuple[str, str, str, str, bool, str, float]], more: bool) -> bytes:
+def encode_machine_page(rows: list[tuple[str, str, str, str, bool, str, float]], more: bool) -> bytes:
     """Encode a page of machines: name, address, type, zone, spot, state, age in seconds."""
     return msgspec.json.encode(
         {
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -26,7 +26,7 @@
 from pearstep.history.extension import Compacting, may_begin
 from pearstep.history.settings import HistoryError, HistorySettings, load
 from pearstep.protocol import controller_messages as wire
-from pearstep.protocol.emulator_messages import read_txn
+from pearstep.protocol.emulator_messages import decode_transaction
 from pearstep.state.records import JobRecord, LeaseHolderRecord, Placement, PlacementRecord, RouteRecord
 from pearstep.state.replica import Replica
 from pearstep.state.transactions import TransactionLimits
@@ -51,7 +51,7 @@
 
     def apply(self, body):
         before = {k for k in self.keys.keys if k.startswith("j/")}
-        txn = read_txn(body)
+        txn = decode_transaction(body)
         assert len(txn.ops) <= 16 and len(txn.conditions) <= 64
         try:
             found = self.keys.txn(txn)
--- a/tests/test_golden_cloud.py
+++ b/tests/test_golden_cloud.py
@@ -1,4 +1,4 @@
-"""What controllers and the cloud say to each other, and what the emulator of the cloud answers."""
+"""Messages between controllers and the cloud, and answers of its emulator, match the golden files."""
 
 import asyncio
 from types import SimpleNamespace
@@ -8,10 +8,10 @@
 
 from pearstep.emulator.cloud import Cloud, MachineKind
 from pearstep.protocol import controller_messages as wire
-from pearstep.protocol import emulator_messages as standin
+from pearstep.protocol import emulator_messages as emulator_wire
 from tests.golden import files
 
-BIG = dict(
+LARGE_TYPE = dict(
     name="g8",
     cpus=96.0,
     gpus=8.0,
@@ -23,10 +23,10 @@
     boot_us=50_500_000,
     zones=["north", "south"],
 )
-TYPES = {
-    "types_all": {"g8": BIG},
+MACHINE_TYPES = {
+    "types_all": {"g8": LARGE_TYPE},
     "types_required": {
-        "small": BIG
+        "small": LARGE_TYPE
         | dict(
             name="small",
             cpus=32.0,
@@ -42,64 +42,79 @@
     },
     "types_none": {},
 }
-LISTED = dict(
+LISTED_MACHINE = dict(
     name="i-1", type="g8", zone="north", state="running", spot=True, address="10.0.0.1:9000", age_s=7.5
 )
-LISTS = {
-    "machines_all": dict(machines=[LISTED], more=True),
-    "machines_required": dict(machines=[LISTED | dict(spot=False, address="", age_s=0.0)], more=False),
+MACHINE_PAGES = {
+    "machines_all": dict(machines=[LISTED_MACHINE], more=True),
+    "machines_required": dict(
+        machines=[LISTED_MACHINE | dict(spot=False, address="", age_s=0.0)], more=False
+    ),
     "machines_none": dict(machines=[], more=False),
 }
-HIRED = {"hired": ["i-1", "i-2"], "hired_none": []}
-OTHERS = {"hire", "delete", "paths", "exchanges", "emulator_kind_all", "emulator_kind_required"}
+INSTANCE_ANSWERS = {"hired": ["i-1", "i-2"], "hired_none": []}
+OTHER_FILES = {"hire", "delete", "paths", "exchanges", "emulator_kind_all", "emulator_kind_required"}
 EXCHANGES = files.table("cloud/exchanges.json")
 
 
-def test_every_file_of_the_area_is_looked_at():
-    names = {*TYPES, *LISTS, *HIRED, *OTHERS}
+def test_every_golden_file_of_the_area_is_covered():
+    names = {*MACHINE_TYPES, *MACHINE_PAGES, *INSTANCE_ANSWERS, *OTHER_FILES}
     assert files.names("cloud") == {f"cloud/{name}.json" for name in names}
 
 
-@pytest.mark.parametrize("name", TYPES)
-def test_types_are_read_as_they_were(name):
-    assert files.fields(wire.decode_machine_types(files.read(f"cloud/{name}.json"))) == TYPES[name]
+@pytest.mark.parametrize("name", MACHINE_TYPES)
+def test_machine_types_are_decoded_as_in_the_golden_files(name):
+    assert files.fields(wire.decode_machine_types(files.read(f"cloud/{name}.json"))) == MACHINE_TYPES[name]
 
 
 @pytest.mark.parametrize("name", ["types_all", "types_none"])
-def test_types_are_written_as_they_were(name):
+def test_machine_types_are_encoded_as_in_the_golden_files(name):
     body = files.read(f"cloud/{name}.json")
     assert msgspec.json.encode(msgspec.json.decode(body, type=wire.MachineTypeList)) == body
 
 
-@pytest.mark.parametrize("name", LISTS)
-def test_a_list_of_machines_is_read_and_written_as_it_was(name):
+@pytest.mark.parametrize("name", MACHINE_PAGES)
+def test_machine_pages_are_decoded_and_encoded_as_in_the_golden_files(name):
     body = files.read(f"cloud/{name}.json")
     page = msgspec.json.decode(body, type=wire.MachineList)
-    assert files.fields(page) == LISTS[name]
+    assert files.fields(page) == MACHINE_PAGES[name]
     if name != "machines_required":
-        rows = [(m.name, m.address, m.type, m.zone, m.spot, m.state, m.age_s) for m in page.machines]
-        assert standin.listed(rows, page.more) == body
-
-
-@pytest.mark.parametrize("name", HIRED)
-def test_rented_machines_are_read_and_written_as_they_were(name):
+        rows = [
+            (
+                machine.name,
+                machine.address,
+                machine.type,
+                machine.zone,
+                machine.spot,
+                machine.state,
+                machine.age_s,
+            )
+            for machine in page.machines
+        ]
+        assert emulator_wire.encode_machine_page(rows, page.more) == body
+
+
+@pytest.mark.parametrize("name", INSTANCE_ANSWERS)
+def test_answers_to_instance_requests_are_decoded_and_encoded_as_in_the_golden_files(name):
     body = files.read(f"cloud/{name}.json")
     assert files.fields(msgspec.json.decode(body, type=wire.InstanceRequestAnswer)) == {
-        "machines": HIRED[name]
+        "machines": INSTANCE_ANSWERS[name]
     }
-    assert standin.hired(HIRED[name]) == body
+    assert emulator_wire.encode_instance_names(INSTANCE_ANSWERS[name]) == body
 
 
-def test_requests_are_written_and_read_as_they_were():
-    hire, delete = files.read("cloud/hire.json"), files.read("cloud/delete.json")
-    assert wire.encode_instance_request("n0-12-1", "g8", "north", True, 3) == hire
+def test_requests_are_encoded_and_decoded_as_in_the_golden_files():
+    instance_request, deletion_request = files.read("cloud/hire.json"), files.read("cloud/delete.json")
+    assert wire.encode_instance_request("n0-12-1", "g8", "north", True, 3) == instance_request
     expected = dict(name="n0-12-1", type="g8", zone="north", spot=True, count=3)
-    assert files.fields(standin.read_hire(hire)) == expected
-    assert wire.encode_delete_machines(["i-1", "i-2"]) == delete
-    assert files.fields(standin.read_delete(delete)) == {"machines": ["i-1", "i-2"]}
+    assert files.fields(emulator_wire.decode_instance_request(instance_request)) == expected
+    assert wire.encode_delete_machines(["i-1", "i-2"]) == deletion_request
+    assert files.fields(emulator_wire.decode_deletion_request(deletion_request)) == {
+        "machines": ["i-1", "i-2"]
+    }
 
 
-def test_paths_are_built_as_they_were():
+def test_paths_are_as_in_the_golden_file():
     assert files.table("cloud/paths.json") == {
         "types": wire.MACHINE_TYPES_PATH,
         "machines": wire.MACHINES_PATH,
@@ -111,40 +126,44 @@
 
 # -- the emulator ----------------------------------------------------------------------------------
 
-USED_UP = SimpleNamespace(try_acquire=lambda *amount: False)
+EXHAUSTED_LIMITER = SimpleNamespace(try_acquire=lambda *amount: False)
 
 KIND = dict(
     name="g8", cpus=96.0, memory_gb=384.5, gpus=8.0, price=30.0, boot_s=1.5, most=2, zones=["north", "south"]
 )
-LEAST = dict(name="small", cpus=32.0, memory_gb=128.0, gpus=0.0, price=1.0, boot_s=0.5, most=4, zones=["a"])
+MINIMAL_KIND = dict(
+    name="small", cpus=32.0, memory_gb=128.0, gpus=0.0, price=1.0, boot_s=0.5, most=4, zones=["a"]
+)
 
 
-@pytest.mark.parametrize("name, values", [("emulator_kind_all", KIND), ("emulator_kind_required", LEAST)])
-def test_a_kind_of_the_emulator_is_read_as_it_was(name, values):
+@pytest.mark.parametrize(
+    "name, values", [("emulator_kind_all", KIND), ("emulator_kind_required", MINIMAL_KIND)]
+)
+def test_machine_kinds_of_the_emulator_are_decoded_as_in_the_golden_files(name, values):
     body = files.read(f"cloud/{name}.json")
     kind = msgspec.json.decode(body, type=MachineKind)
     assert files.fields(kind) == values
     assert name != "emulator_kind_all" or msgspec.json.encode(kind) == body
 
 
-def emulator(folder):
-    kinds = ("emulator_kind_all", "emulator_kind_required")
-    read = [msgspec.json.decode(files.read(f"cloud/{name}.json"), type=MachineKind) for name in kinds]
-    return Cloud(folder, read, {}, 100.0, 0.0)
+def make_cloud(folder):
+    names = ("emulator_kind_all", "emulator_kind_required")
+    kinds = [msgspec.json.decode(files.read(f"cloud/{name}.json"), type=MachineKind) for name in names]
+    return Cloud(folder, kinds, {}, 100.0, 0.0)
 
 
-def test_the_emulator_answers_as_it_did(tmp_path):
-    """In one go: what is rented first is answered again, and what is left is rented out."""
-    cloud = emulator(tmp_path)
+def test_emulator_answers_as_in_the_golden_file(tmp_path):
+    """One emulator answers all: a repeated instance request gets the first answer, and capacity runs out."""
+    cloud = make_cloud(tmp_path)
     for name, golden in EXCHANGES.items():
         if name == "too many requests":
-            cloud.requests = USED_UP
-        words = (word.partition("=") for word in golden["query"].split("&") if word)
+            cloud.requests = EXHAUSTED_LIMITER
+        arguments = (argument.partition("=") for argument in golden["query"].split("&") if argument)
         request = SimpleNamespace(
             method=golden["method"],
             path=golden["path"],
             body=golden["body"].encode(),
-            arguments={word: [value.encode()] for word, _, value in words},
+            arguments={argument: [value.encode()] for argument, _, value in arguments},
         )
         status, body, headers = asyncio.run(cloud.handle(request))
         assert (status, body.decode(), headers) == (golden["status"], golden["answer"], golden["headers"]), (
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -16,7 +16,7 @@
 
 
 def txn(conditions, puts, deletes=()):
-    return wire.read_txn(encode_transaction(conditions, puts, list(deletes)))
+    return wire.decode_transaction(encode_transaction(conditions, puts, list(deletes)))
 
 
 @given(st.lists(st.tuples(NAMES, st.integers(0, 6), st.booleans(), st.integers(0, 3)), max_size=40))
--- a/tests/test_state_compact.py
+++ b/tests/test_state_compact.py
@@ -18,7 +18,7 @@
 from pearstep.history.standalone import Alone, compact
 from pearstep.history.verification import verify
 from pearstep.protocol.controller_messages import encode_transaction
-from pearstep.protocol.emulator_messages import read_txn
+from pearstep.protocol.emulator_messages import decode_transaction
 from pearstep.state.records import JobRecord, LeaseHolderRecord, PlacementRecord, RouteRecord
 from pearstep.transport.http import Client, Server
 from tests.world import spec
@@ -42,7 +42,7 @@
 
     def put(self, puts):
         rows = {key: (value, None) for key, value in puts.items()}
-        assert isinstance(self.keys.txn(read_txn(encode_transaction({}, rows, []))), int)
+        assert isinstance(self.keys.txn(decode_transaction(encode_transaction({}, rows, []))), int)
 
     def add_controllers(self, node_version=2):
         for shard_id in range(SHARDS):
--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -61,7 +61,7 @@
         request = SimpleNamespace(method=method, path=path, arguments={}, body=body)
         if path != "/txn":
             return (await self.handle(request))[:2]
-        self.txns.append(wire.read_txn(body))
+        self.txns.append(wire.decode_transaction(body))
         touched = {op.put or op.delete for op in self.txns[-1].ops}
         status, data = 400, b'{"error":"malformed"}'
         if self.forbidden not in touched:
@@ -94,7 +94,7 @@
 
     def txn(self, conditions, puts, deletes=None):
         body = encode_transaction(conditions, {k: (v, None) for k, v in puts.items()}, deletes or [])
-        return self.held.txn(wire.read_txn(body))
+        return self.held.txn(wire.decode_transaction(body))
 
 
 class Site(World):
@@ -315,14 +315,14 @@
     keys = Keys(value_bytes=2048, txn_ops=4)
     sixteen = dict.fromkeys((f"a/{n}" for n in range(16)), 0)
     four = {f"b/{n}": ("x" * 2000, None) for n in range(4)}
-    assert isinstance(keys.txn(wire.read_txn(encode_transaction(sixteen, four, []))), int)
+    assert isinstance(keys.txn(wire.decode_transaction(encode_transaction(sixteen, four, []))), int)
     for conditions, puts in (
         ({**sixteen, "a/16": 0}, four),
         (sixteen, {**four, "b/4": ("", None)}),
         ({}, {"b/0": ("x" * 2047, None)}),
     ):
         with pytest.raises(ValueError):
-            keys.txn(wire.read_txn(encode_transaction(conditions, puts, [])))
+            keys.txn(wire.decode_transaction(encode_transaction(conditions, puts, [])))
 
     async def body(size):
         service = Service(64, 64)
