--- a/measurements/simulation/troubles.py
+++ b/measurements/simulation/troubles.py
@@ -13,7 +13,7 @@
 from measurements.simulation.users import odd_requests
 from measurements.simulation.worker import SimWorker
 from pearstep.protocol.agent_messages import decode_heartbeat_answer
-from pearstep.protocol.controller_messages import HEARTBEAT_PATH, VERB_OUT
+from pearstep.protocol.controller_messages import HEARTBEAT_PATH, OPERATION_TO_WIRE
 from pearstep.state.records import LeaseHolderRecord, PlacementRecord
 
 # Reports that were on their way when a machine was deleted may still be taken for news so much later.
@@ -23,7 +23,7 @@
 KEPT_S = (0.002, 0.4, 4.0)
 MOST_KEPT = 200
 SLOW_LINK_S = 0.25
-RUN_VERB = f'"{VERB_OUT["start"]}"'.encode()
+RUN_VERB = f'"{OPERATION_TO_WIRE["start"]}"'.encode()
 
 
 class Troubles(Built):
--- a/measurements/simulation/users.py
+++ b/measurements/simulation/users.py
@@ -18,14 +18,14 @@
 from pearstep.protocol.controller_messages import (
     CANCEL_ACTION,
     JOBS_PATH,
-    KIND_IN,
-    PRIORITY_IN,
+    KIND_FROM_WIRE,
+    PRIORITY_FROM_WIRE,
     READY_PATH,
     decode_submission,
 )
 
-KIND_OUT = {mine: theirs for theirs, mine in KIND_IN.items()}
-RANK_OUT = {number: name for name, number in PRIORITY_IN.items()}
+KIND_OUT = {mine: theirs for theirs, mine in KIND_FROM_WIRE.items()}
+RANK_OUT = {number: name for name, number in PRIORITY_FROM_WIRE.items()}
 POLL_S = 5.0
 # Pauses between close looks.
 LOOKS_S = (0.0, 0.001, 0.004, 0.02, 0.1)
--- a/pearstep/client/jobs.py
+++ b/pearstep/client/jobs.py
@@ -67,7 +67,7 @@
             if now_us() >= until:
                 raise ClusterUnreachableError(f"the archive answers {status}: {reason(data)}")
             await asyncio.sleep(0.5)
-        status, data = await self._ask("POST", JOBS_PATH, wire.submission_body(job.submission(ref)))
+        status, data = await self._ask("POST", JOBS_PATH, wire.encode_submission(job.submission(ref)))
         if status not in (200, 201):
             raise RejectedError(reason(data))
         return ref
@@ -75,9 +75,9 @@
     async def status(self, ref: str, patience_us: int = PATIENCE_US) -> wire.JobStatus | None:
         """The job's state; None if there is no such job."""
         status, data = await self._ask("GET", wire.job_path(ref), None, patience_us)
-        return wire.read_status(data) if status == 200 else None
+        return wire.decode_job_status(data) if status == 200 else None
 
     async def cancel(self, ref: str) -> wire.JobStatus | None:
         """Cancel, and say what it is now; None if there is no such job."""
         status, data = await self._ask("POST", wire.cancel_path(ref), b"")
-        return wire.read_status(data) if status == 200 else None
+        return wire.decode_job_status(data) if status == 200 else None
--- a/pearstep/controller/job_api.py
+++ b/pearstep/controller/job_api.py
@@ -236,7 +236,7 @@
 
     async def submit(self, body: bytes) -> Answer:
         """Answer the POST of a job. A known id is answered before the rest is checked."""
-        if len(body) > wire.BODY_LIMIT:
+        if len(body) > wire.MAX_SUBMISSION_BYTES:
             return 413, wire.encode_error("body over 64 KiB"), {}
         try:
             job_id = wire.decode_job_id(body)
--- a/pearstep/protocol/__init__.py
+++ b/pearstep/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages on the wire: the only place where the protocol's own names appear."""
+"""Messages on the wire; names of the protocol that differ from the code's appear only here."""
--- a/pearstep/protocol/agent_api_messages.py
+++ b/pearstep/protocol/agent_api_messages.py
@@ -1,4 +1,4 @@
-"""The agents' interface: heartbeats, and the commands that answer them or are sent directly."""
+"""Messages between agents and controllers: heartbeats, and commands in answers or in direct requests."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 COMMANDS_PATH = "/commands"
 INSPECT_PATH = "/inspect"
 
-STAGE_IN = {
+TASK_STATE_FROM_WIRE = {
     "pulling": "fetching",
     "gathering": "waiting",
     "running": "running",
     "saving": "saving",
     "exited": "exited",
 }
-CAUSE_IN = {"mates_gone": "peers", "full": "no_room", "in_use": "busy", "no_such": "unknown"}
-VERB_OUT = {"start": "run", "stop": "halt", "forget": "reap"}
+CAUSE_FROM_WIRE = {"mates_gone": "peers", "full": "no_room", "in_use": "busy", "no_such": "unknown"}
+OPERATION_TO_WIRE = {"start": "run", "stop": "halt", "forget": "reap"}
 
 
 class TaskStatusMessage(
     msgspec.Struct,
     rename={"task": "parcel", "attempt": "try", "state": "stage", "cause": "cause", "saved": "kept"},
 ):
-    """An attempt at a task as its agent sees it."""
+    """The state of a task's attempt, as reported by its agent."""
 
     task: str
     attempt: int
@@ -52,7 +52,7 @@
         "tasks": "parcels",
     },
 ):
-    """An agent's heartbeat: its machine, and the state of all its tasks."""
+    """An agent's heartbeat: its machine, and the states of all its tasks."""
 
     machine: Name
     address: str
@@ -70,21 +70,21 @@
 
 
 def decode_heartbeat(body: bytes) -> HeartbeatMessage:
-    """Check a heartbeat and translate its tasks' states and causes.
+    """Decode a heartbeat, and translate the states and causes of its tasks to the code's terms.
 
     Raises:
-        MalformedMessageError: Something in it is missing or wrong.
+        MalformedMessageError: A field is missing or invalid.
     """
     try:
         heartbeat = _heartbeat.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from err
     for task in heartbeat.tasks:
-        if task.state not in STAGE_IN:
+        if task.state not in TASK_STATE_FROM_WIRE:
             raise MalformedMessageError(f"unknown task state {task.state}")
-        task.state = STAGE_IN[task.state]
+        task.state = TASK_STATE_FROM_WIRE[task.state]
         if task.cause is not None:
-            task.cause = CAUSE_IN.get(task.cause, task.cause)
+            task.cause = CAUSE_FROM_WIRE.get(task.cause, task.cause)
     return heartbeat
 
 
@@ -93,7 +93,7 @@
     omit_defaults=True,
     rename={"op": "verb", "task": "parcel", "attempt": "try", "grace_s": "respiteS"},
 ):
-    """A command to an agent; the grace of a stop in seconds."""
+    """A command to an agent; ``grace_s`` is the grace period of a stop."""
 
     op: str
     task: str
@@ -104,16 +104,17 @@
 def encode_commands(
     fencing_token: int, commands: Sequence[tuple[str, str, int, float | None]], incarnation: int | None = None
 ) -> bytes:
-    """Encode commands as a heartbeat's answer, or with an incarnation as a direct request."""
+    """Encode commands as the answer to a heartbeat or, with an incarnation, as a direct request."""
     message: dict[str, Any] = {"warrant": fencing_token}
     if incarnation is not None:
         message["tenure"] = incarnation
     message["orders"] = [
-        CommandMessage(VERB_OUT[op], task, attempt, grace_s) for op, task, attempt, grace_s in commands
+        CommandMessage(OPERATION_TO_WIRE[op], task, attempt, grace_s)
+        for op, task, attempt, grace_s in commands
     ]
     return msgspec.json.encode(message)
 
 
 def encode_redirect(node: str | None) -> bytes:
-    """Encode which node an agent shall send its heartbeats to."""
+    """Encode the node that an agent shall send its heartbeats to, if there is one."""
     return msgspec.json.encode({"steward": node} if node else {})
--- a/pearstep/protocol/agent_messages.py
+++ b/pearstep/protocol/agent_messages.py
@@ -1,4 +1,4 @@
-"""The agents' side of the protocol: heartbeats as they are sent, answers and commands as they are read."""
+"""The agents' side of the protocol: encodes heartbeats, and decodes answers and direct commands."""
 
 from __future__ import annotations
 
@@ -6,18 +6,23 @@
 
 import msgspec
 
-from pearstep.protocol.agent_api_messages import CAUSE_IN, STAGE_IN, VERB_OUT, HeartbeatMessage
+from pearstep.protocol.agent_api_messages import (
+    CAUSE_FROM_WIRE,
+    OPERATION_TO_WIRE,
+    TASK_STATE_FROM_WIRE,
+    HeartbeatMessage,
+)
 from pearstep.protocol.errors import MalformedMessageError
 
-STAGE_OUT = {state: stage for stage, state in STAGE_IN.items()}
-CAUSE_OUT = {cause: sent for sent, cause in CAUSE_IN.items()}
-VERB_IN = {verb: op for op, verb in VERB_OUT.items()}
+TASK_STATE_TO_WIRE = {state: stage for stage, state in TASK_STATE_FROM_WIRE.items()}
+CAUSE_TO_WIRE = {cause: wire_cause for wire_cause, cause in CAUSE_FROM_WIRE.items()}
+OPERATION_FROM_WIRE = {verb: operation for operation, verb in OPERATION_TO_WIRE.items()}
 
 
-class CommandIn(
+class ReceivedCommand(
     msgspec.Struct, rename={"op": "verb", "task": "parcel", "attempt": "try", "grace_s": "respiteS"}
 ):
-    """A command: ``start``, ``stop`` with its grace, or ``forget``."""
+    """A command: ``start``, ``stop`` with its grace period, or ``forget``."""
 
     op: str
     task: str
@@ -31,62 +36,62 @@
     """The answer to a heartbeat."""
 
     fencing_token: int = 0
-    commands: list[CommandIn] = []
+    commands: list[ReceivedCommand] = []
     node: str = ""
 
 
 class DirectCommands(
     msgspec.Struct, rename={"fencing_token": "warrant", "incarnation": "tenure", "commands": "orders"}
 ):
-    """Commands sent straight to the agent. Fencing token and incarnation are needed."""
+    """Commands sent directly to the agent; the fencing token and the incarnation are required."""
 
     fencing_token: int
     incarnation: int
-    commands: list[CommandIn] = []
+    commands: list[ReceivedCommand] = []
 
 
 _answer = msgspec.json.Decoder(HeartbeatAnswer)
 _commands = msgspec.json.Decoder(DirectCommands)
 
 
-def _known(commands: list[CommandIn]) -> list[CommandIn]:
-    """Keep the commands whose verb is known, with the code's name for it."""
+def _translate_known_commands(commands: list[ReceivedCommand]) -> list[ReceivedCommand]:
+    """Return the commands with a known operation, which is translated to the code's term; drop the others."""
     return [
-        msgspec.structs.replace(command, op=VERB_IN[command.op])
+        msgspec.structs.replace(command, op=OPERATION_FROM_WIRE[command.op])
         for command in commands
-        if command.op in VERB_IN
+        if command.op in OPERATION_FROM_WIRE
     ]
 
 
 def decode_heartbeat_answer(body: bytes) -> HeartbeatAnswer:
-    """Read the answer to a heartbeat; an empty one if it cannot be read."""
+    """Decode the answer to a heartbeat; return an empty one if it is malformed."""
     try:
         answer = _answer.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return HeartbeatAnswer()
-    answer.commands = _known(answer.commands)
+    answer.commands = _translate_known_commands(answer.commands)
     return answer
 
 
 def decode_direct_commands(body: bytes) -> DirectCommands:
-    """Read direct commands; raise MalformedMessageError if they can't be read."""
+    """Decode direct commands; raise MalformedMessageError if they are malformed."""
     try:
         commands = _commands.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from err
-    commands.commands = _known(commands.commands)
+    commands.commands = _translate_known_commands(commands.commands)
     return commands
 
 
 def encode_heartbeat(heartbeat: HeartbeatMessage) -> bytes:
-    """Encode a heartbeat with the protocol's names for states and causes."""
+    """Encode a heartbeat, with the protocol's terms for states and causes."""
     raw: dict[str, Any] = msgspec.to_builtins(heartbeat)
     for task in raw["parcels"]:
-        task["stage"] = STAGE_OUT[task["stage"]]
+        task["stage"] = TASK_STATE_TO_WIRE[task["stage"]]
         if task.get("cause") is None:
             task.pop("cause", None)
         else:
-            task["cause"] = CAUSE_OUT.get(task["cause"], task["cause"])
+            task["cause"] = CAUSE_TO_WIRE.get(task["cause"], task["cause"])
         if task.get("kept") is None:
             task.pop("kept", None)
     return msgspec.json.encode(raw)
--- a/pearstep/protocol/client_messages.py
+++ b/pearstep/protocol/client_messages.py
@@ -1,4 +1,4 @@
-"""The users' side of the protocol: submissions as they are sent, answers as they are read."""
+"""The users' side of the protocol: encodes submissions, and decodes answers."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from pearstep.protocol.job_api_messages import (
     CANCEL_ACTION,
+    JOB_STATE_TO_WIRE,
     JOBS_PATH,
-    KIND_IN,
-    STAGE_OUT,
+    KIND_FROM_WIRE,
     Submission,
 )
 
-KIND_OUT = {kind: shape for shape, kind in KIND_IN.items()}
-STAGE_IN = {stage: state for state, stage in STAGE_OUT.items()}
+KIND_TO_WIRE = {kind: shape for shape, kind in KIND_FROM_WIRE.items()}
+JOB_STATE_FROM_WIRE = {stage: state for state, stage in JOB_STATE_TO_WIRE.items()}
 
 
 class JobStatus(msgspec.Struct, rename={"job_id": "ref", "state": "stage"}):
-    """What a controller says of a job."""
+    """The status of a job, as a controller reports it."""
 
     job_id: str
     state: str
@@ -27,15 +27,15 @@
     running: int = 0
 
 
-def submission_body(job: dict[str, Any]) -> bytes:
-    """Encode a job, given in the code's terms, as the protocol's submission."""
-    return msgspec.json.encode(Submission(**{**job, "kind": KIND_OUT[job["kind"]]}))
+def encode_submission(job: dict[str, Any]) -> bytes:
+    """Encode a submission from the fields of a job, given in the code's terms."""
+    return msgspec.json.encode(Submission(**{**job, "kind": KIND_TO_WIRE[job["kind"]]}))
 
 
-def read_status(body: bytes) -> JobStatus:
-    """Read an answer with a job's state."""
+def decode_job_status(body: bytes) -> JobStatus:
+    """Decode an answer with the status of a job."""
     status = msgspec.json.decode(body, type=JobStatus)
-    status.state = STAGE_IN.get(status.state, status.state)
+    status.state = JOB_STATE_FROM_WIRE.get(status.state, status.state)
     return status
 
 
--- a/pearstep/protocol/cloud_messages.py
+++ b/pearstep/protocol/cloud_messages.py
@@ -1,4 +1,4 @@
-"""The cloud's interface: machine types, instance requests, deletions, and the list of machines."""
+"""Messages between controllers and the cloud: machine types, instance requests, deletions, machine lists."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def decode_machine_types(body: bytes) -> dict[str, MachineType]:
-    """Return the machine types on offer by name; seconds become microseconds."""
+    """Decode the machine types on offer, by name; seconds become microseconds."""
     return {
         machine_type.name: MachineType(
             machine_type.name,
@@ -96,14 +96,14 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "trees", "more": "hasNext"}):
-    """A page of the cloud's list."""
+    """A page of the cloud's list of machines."""
 
     machines: list[ListedMachine]
     more: bool = False
 
 
 def encode_instance_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> bytes:
-    """Encode an instance request under a name."""
+    """Encode an instance request; ``name`` identifies it when it is repeated."""
     return msgspec.json.encode(
         {"hire": name, "breed": machine_type, "plot": zone, "windfall": spot, "howMany": count}
     )
@@ -115,6 +115,6 @@
 
 
 def machine_page_path(after: str | None) -> str:
-    """Return path and query of a page of the machine list, after a name."""
+    """Return path and query of the page of the machine list that follows a name."""
     more = f"&from={after}" if after else ""
     return f"{MACHINES_PATH}?limit={MACHINES_PER_PAGE}{more}"
--- a/pearstep/protocol/errors.py
+++ b/pearstep/protocol/errors.py
@@ -1,5 +1,5 @@
-"""The error of messages that can't be understood."""
+"""The error raised for malformed messages."""
 
 
 class MalformedMessageError(Exception):
-    """A message that cannot be understood; the text says why."""
+    """A message cannot be decoded or is invalid; the text says why."""
--- a/pearstep/protocol/fields.py
+++ b/pearstep/protocol/fields.py
@@ -1,4 +1,4 @@
-"""Types of fields that several interfaces check alike."""
+"""Field types that several interfaces share."""
 
 from __future__ import annotations
 
--- a/pearstep/protocol/job_api_messages.py
+++ b/pearstep/protocol/job_api_messages.py
@@ -1,4 +1,4 @@
-"""The users' interface: submissions, and what users are told of their jobs.
+"""Messages between users and controllers: submissions, and the status of jobs.
 
 The protocol's own names are mapped to the code's terms by ``rename=`` and by the tables below.
 """
@@ -18,12 +18,11 @@
 JOBS_PATH = "/v2/runs"
 CANCEL_ACTION = "abort"
 READY_PATH = "/ready"
-# The largest body of a submission, in bytes.
-BODY_LIMIT = 64 * 1024
+MAX_SUBMISSION_BYTES = 64 * 1024
 
-KIND_IN = {"batch": "array", "gang": "gang", "daemon": "service"}
-PRIORITY_IN = {"critical": 0, "high": 1, "normal": 2, "low": 3}
-STAGE_OUT = {"queued": "queued", "running": "running", "done": "done", "cancelled": "withdrawn"}
+KIND_FROM_WIRE = {"batch": "array", "gang": "gang", "daemon": "service"}
+PRIORITY_FROM_WIRE = {"critical": 0, "high": 1, "normal": 2, "low": 3}
+JOB_STATE_TO_WIRE = {"queued": "queued", "running": "running", "done": "done", "cancelled": "withdrawn"}
 
 
 class Submission(
@@ -88,10 +87,10 @@
 def decode_job_id(body: bytes) -> str:
     """Return the job id of a submission that may otherwise be invalid.
 
-    A known job is answered before its repeat is checked.
+    The answer to a repeated submission of an existing job does not depend on its other fields.
 
     Raises:
-        MalformedMessageError: There is no valid job id.
+        MalformedMessageError: The job id is missing or invalid.
     """
     try:
         return _job_id_only.decode(body).job_id
@@ -100,25 +99,25 @@
 
 
 def decode_submission(body: bytes) -> JobSpec:
-    """Check a submission and convert it to a job specification; seconds become microseconds.
+    """Decode a submission, and convert it to a job specification; seconds become microseconds.
 
     Raises:
-        MalformedMessageError: Something in it is missing or wrong.
+        MalformedMessageError: A field is missing or invalid.
     """
     try:
         submission = _submission.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as err:
         raise MalformedMessageError(str(err)) from err
-    if submission.kind not in KIND_IN:
+    if submission.kind not in KIND_FROM_WIRE:
         raise MalformedMessageError("unknown shape")
-    if submission.priority not in PRIORITY_IN:
+    if submission.priority not in PRIORITY_FROM_WIRE:
         raise MalformedMessageError("unknown rank")
     return JobSpec(
         job_id=submission.job_id,
         job_class=submission.job_class,
         team=submission.team,
-        kind=KIND_IN[submission.kind],
-        priority=PRIORITY_IN[submission.priority],
+        kind=KIND_FROM_WIRE[submission.kind],
+        priority=PRIORITY_FROM_WIRE[submission.priority],
         tasks=submission.tasks,
         cpus=submission.cpus,
         gpus=submission.gpus,
@@ -138,13 +137,13 @@
 
 
 def encode_job_status(job_id: str, state: str, done: int | None = None, running: int | None = None) -> bytes:
-    """Encode what a user is told of a job."""
-    status: dict[str, Any] = {"ref": job_id, "stage": STAGE_OUT[state]}
+    """Encode the status of a job for a user."""
+    status: dict[str, Any] = {"ref": job_id, "stage": JOB_STATE_TO_WIRE[state]}
     if done is not None:
         status["done"], status["running"] = done, running
     return msgspec.json.encode(status)
 
 
 def encode_error(reason: str) -> bytes:
-    """Encode a short reason for a refusal."""
+    """Encode the short reason of an error answer."""
     return msgspec.json.encode({"error": reason})
--- a/pearstep/protocol/key_value_messages.py
+++ b/pearstep/protocol/key_value_messages.py
@@ -1,4 +1,4 @@
-"""The state service's interface: pages of keys, transactions, leases and the changes after a revision."""
+"""Messages to and from the state service: pages of keys, transactions, leases, changes after a revision."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
-    """A key with its value, undecoded."""
+    """A key with its undecoded value."""
 
     key: str
     value: msgspec.Raw
@@ -46,7 +46,7 @@
 
 
 class TransactionAnswer(msgspec.Struct, rename={"revision": "ledger"}):
-    """The outcome of a transaction."""
+    """The answer to a transaction; ``failed`` lists the keys whose conditions did not hold."""
 
     revision: int
     failed: list[str] = []
@@ -86,7 +86,7 @@
 
 
 def key_page_path(prefix: str, after: str | None, limit: int) -> str:
-    """Return path and query of a page of the keys with a prefix, after a key."""
+    """Return path and query of the page of the keys with a prefix that follows a key."""
     more = f"&from={after}" if after else ""
     return f"{KEYS_PATH}?starts={prefix}{more}&limit={limit}"
 
--- a/pearstep/protocol/peer_messages.py
+++ b/pearstep/protocol/peer_messages.py
@@ -1,6 +1,6 @@
-"""The interface of controllers among themselves: paths, and parameters of the status query.
+"""Messages between the controllers of a cluster: paths, and parameters of the status query.
 
-The messages themselves are beside their code, in ``pearstep.controller.peers``.
+The types of the messages are in ``pearstep.controller.peers``.
 """
 
 PEER_STATUS_PATH = "/mesh/status"
--- a/pearstep/worker/session.py
+++ b/pearstep/worker/session.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pearstep.domain.state_machine import TransitionTable
-from pearstep.protocol.agent_messages import CommandIn, DirectCommands, HeartbeatAnswer
+from pearstep.protocol.agent_messages import DirectCommands, HeartbeatAnswer, ReceivedCommand
 from pearstep.protocol.controller_messages import HeartbeatMessage, TaskStatusMessage
 
 SEEKING = "seeking"  # no node has answered this session yet, or the last one did not
@@ -219,7 +219,7 @@
 
     # -- commands --------------------------------------------------------------------------------
 
-    def _execute(self, orders: list[CommandIn], now_us: int) -> list[Effect]:
+    def _execute(self, orders: list[ReceivedCommand], now_us: int) -> list[Effect]:
         out: list[Effect] = []
         for order in orders:
             held = self.tasks.get((order.task, order.attempt))
@@ -233,7 +233,7 @@
                 out.append(Effect("forget", *held.key))
         return out
 
-    def _begin(self, order: CommandIn, now_us: int) -> list[Effect]:
+    def _begin(self, order: ReceivedCommand, now_us: int) -> list[Effect]:
         held = Held(order.task, order.attempt, since_us=now_us)
         busy = any(h.task == order.task and h.state != EXITED for h in self.tasks.values())
         self.tasks[held.key] = held
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -191,7 +191,7 @@
             else:
                 assert status == 200, f"{ref} was forgotten"
                 want, done = world.final.get(ref, ("queued", 0))
-                assert (said["stage"], said["done"]) == (wire.STAGE_OUT[want], done)
+                assert (said["stage"], said["done"]) == (wire.JOB_STATE_TO_WIRE[want], done)
 
 
 def write(world, conditions, puts):
--- a/tests/test_golden_agents.py
+++ b/tests/test_golden_agents.py
@@ -1,4 +1,4 @@
-"""Agents and controllers as they talk to each other: reports, commands, and every refusal."""
+"""Messages between agents and controllers match the golden files: heartbeats, commands, and error answers."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 from pearstep.worker.session import Machine, Session, Timing
 from tests.golden import files
 
-REPORT = dict(
+HEARTBEAT = dict(
     machine="i-1",
     address="10.0.0.1:9000",
     type="g8",
@@ -30,120 +30,125 @@
 )
 
 
-def task(name, attempt, state, cause=None, saved=None):
+def task_status(name, attempt, state, cause=None, saved=None):
     return dict(task=name, attempt=attempt, state=state, cause=cause, saved=saved)
 
 
-REPORTS = {
-    "report_empty": REPORT | dict(spot=False),
-    "report_all": REPORT
+HEARTBEATS = {
+    "report_empty": HEARTBEAT | dict(spot=False),
+    "report_all": HEARTBEAT
     | dict(
         notice_s=27.5,
         tasks=[
-            task("req-7/0", 1, "fetching"),
-            task("req-7/1", 2, "waiting"),
-            task("req-7/2", 3, "running"),
-            task("req-7/3", 4, "saving"),
-            task("req-7/4", 5, "exited", "done", False),
-            task("req-7/5", 6, "exited", "saved", True),
+            task_status("req-7/0", 1, "fetching"),
+            task_status("req-7/1", 2, "waiting"),
+            task_status("req-7/2", 3, "running"),
+            task_status("req-7/3", 4, "saving"),
+            task_status("req-7/4", 5, "exited", "done", False),
+            task_status("req-7/5", 6, "exited", "saved", True),
         ],
     ),
-    "report_causes": REPORT
+    "report_causes": HEARTBEAT
     | dict(
         tasks=[
-            task("req-7/0", 1, "exited", "peers"),
-            task("req-7/1", 1, "exited", "no_room"),
-            task("req-7/2", 1, "exited", "busy"),
-            task("req-7/3", 1, "exited", "unknown"),
-            task("req-7/4", 1, "exited", "stopped"),
-            task("req-7/5", 1, "exited", "alone"),
-            task("req-7/6", 1, "exited", "error"),
+            task_status("req-7/0", 1, "exited", "peers"),
+            task_status("req-7/1", 1, "exited", "no_room"),
+            task_status("req-7/2", 1, "exited", "busy"),
+            task_status("req-7/3", 1, "exited", "unknown"),
+            task_status("req-7/4", 1, "exited", "stopped"),
+            task_status("req-7/5", 1, "exited", "alone"),
+            task_status("req-7/6", 1, "exited", "error"),
         ],
     ),
 }
-ORDERS = [
+COMMANDS = [
     ("start", "req-7/0", 1, None),
     ("stop", "req-7/1", 2, 6.5),
     ("stop", "req-7/2", 3, 0.0),
     ("forget", "req-7/3", 4, None),
 ]
-# Token, commands, session (of direct commands alone).
-COMMANDS = {
+# Fencing token, commands, and incarnation, which only direct commands have.
+ENCODED_COMMANDS = {
     "answer_empty": (12, [], None),
-    "answer_all": (12, ORDERS, None),
+    "answer_all": (12, COMMANDS, None),
     "commands_empty": (12, [], 4),
-    "commands_all": (12, ORDERS, 4),
+    "commands_all": (12, COMMANDS, 4),
 }
-ELSEWHERE = {"elsewhere": "node-3", "elsewhere_nobody": None}
-OTHERS = {"paths", "beat", "exchanges", "exchanges_of_agents"}
+REDIRECTS = {"elsewhere": "node-3", "elsewhere_nobody": None}
+OTHER_FILES = {"paths", "beat", "exchanges", "exchanges_of_agents"}
 EXCHANGES = files.table("agents/exchanges.json")
-OF_AGENTS = files.table("agents/exchanges_of_agents.json")
+AGENT_EXCHANGES = files.table("agents/exchanges_of_agents.json")
 
 
-def test_every_file_of_the_area_is_looked_at():
-    names = {*REPORTS, *COMMANDS, *ELSEWHERE, *OTHERS}
+def test_every_golden_file_of_the_area_is_covered():
+    names = {*HEARTBEATS, *ENCODED_COMMANDS, *REDIRECTS, *OTHER_FILES}
     assert files.names("agents") == {f"agents/{name}.json" for name in names}
-    assert EXCHANGES.keys() == SITUATIONS.keys() and OF_AGENTS.keys() == AGENT_SITUATIONS
+    assert EXCHANGES.keys() == SITUATIONS.keys() and AGENT_EXCHANGES.keys() == AGENT_SITUATIONS
 
 
-@pytest.mark.parametrize("name", REPORTS)
-def test_a_report_is_read_and_written_as_it_was(name):
+@pytest.mark.parametrize("name", HEARTBEATS)
+def test_heartbeats_are_decoded_and_encoded_as_in_the_golden_files(name):
     body = files.read(f"agents/{name}.json")
-    report = wire.decode_heartbeat(body)
-    assert files.fields(report) == REPORTS[name]
-    assert agent.encode_heartbeat(report) == body
+    heartbeat = wire.decode_heartbeat(body)
+    assert files.fields(heartbeat) == HEARTBEATS[name]
+    assert agent.encode_heartbeat(heartbeat) == body
 
 
-def test_a_report_reaches_the_core_with_times_in_microseconds():
-    report = to_heartbeat(wire.decode_heartbeat(files.read("agents/report_all.json")))
-    assert (report.machine, report.address, report.type, report.zone) == (
+def test_heartbeat_is_converted_to_the_type_of_the_core_with_times_in_microseconds():
+    heartbeat = to_heartbeat(wire.decode_heartbeat(files.read("agents/report_all.json")))
+    assert (heartbeat.machine, heartbeat.address, heartbeat.type, heartbeat.zone) == (
         "i-1",
         "10.0.0.1:9000",
         "g8",
         "north",
     )
-    assert (report.spot, report.incarnation, report.sequence, report.fencing_token) == (True, 4, 77, 12)
-    assert report.reclaim_notice_us == 27_500_000
-    last = report.tasks[-1]
-    assert (last.name, last.attempt, last.state, last.cause, last.saved) == (
+    assert (heartbeat.spot, heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) == (
+        True,
+        4,
+        77,
+        12,
+    )
+    assert heartbeat.reclaim_notice_us == 27_500_000
+    last_task = heartbeat.tasks[-1]
+    assert (last_task.name, last_task.attempt, last_task.state, last_task.cause, last_task.saved) == (
         "req-7/5",
         6,
         "exited",
         "saved",
         True,
     )
-    assert [one.saved for one in report.tasks] == [False] * 5 + [True]
+    assert [task.saved for task in heartbeat.tasks] == [False] * 5 + [True]
 
 
-@pytest.mark.parametrize("name", COMMANDS)
-def test_commands_are_written_and_read_as_they_were(name):
+@pytest.mark.parametrize("name", ENCODED_COMMANDS)
+def test_commands_are_encoded_and_decoded_as_in_the_golden_files(name):
     body = files.read(f"agents/{name}.json")
-    token, orders, session = COMMANDS[name]
-    assert wire.encode_commands(token, orders, session) == body
-    read = [
-        dict(op=op, task=name, attempt=attempt, grace_s=grace or 0.0) for op, name, attempt, grace in orders
+    token, commands, incarnation = ENCODED_COMMANDS[name]
+    assert wire.encode_commands(token, commands, incarnation) == body
+    expected_commands = [
+        dict(op=op, task=name, attempt=attempt, grace_s=grace or 0.0) for op, name, attempt, grace in commands
     ]
-    if session is None:
+    if incarnation is None:
         assert files.fields(agent.decode_heartbeat_answer(body)) == dict(
-            fencing_token=token, commands=read, node=""
+            fencing_token=token, commands=expected_commands, node=""
         )
     else:
-        expected = dict(fencing_token=token, incarnation=session, commands=read)
+        expected = dict(fencing_token=token, incarnation=incarnation, commands=expected_commands)
         assert files.fields(agent.decode_direct_commands(body)) == expected
 
 
-@pytest.mark.parametrize("name", ELSEWHERE)
-def test_a_worker_is_sent_elsewhere_as_it_was(name):
-    body, node = files.read(f"agents/{name}.json"), ELSEWHERE[name]
+@pytest.mark.parametrize("name", REDIRECTS)
+def test_redirects_are_encoded_and_decoded_as_in_the_golden_files(name):
+    body, node = files.read(f"agents/{name}.json"), REDIRECTS[name]
     assert wire.encode_redirect(node) == body
     assert files.fields(agent.decode_heartbeat_answer(body)) == dict(
         fencing_token=0, commands=[], node=node or ""
     )
 
 
-def test_members_of_a_gang_tell_each_other_as_they_did():
+def test_messages_between_gang_members_are_decoded_and_encoded_as_in_the_golden_file():
     body = files.read("agents/beat.json")
-    beat = msgspec.json.decode(body, type=gangs.Beat)
+    message = msgspec.json.decode(body, type=gangs.Beat)
     phases = {
         "0": "ready",
         "1": "running",
@@ -154,11 +159,11 @@
         "6": "kept",
         "7": "gone",
     }
-    assert files.fields(beat) == dict(job="req-7", attempt=2, phases=phases)
-    assert msgspec.json.encode(beat) == body
+    assert files.fields(message) == dict(job="req-7", attempt=2, phases=phases)
+    assert msgspec.json.encode(message) == body
 
 
-def test_paths_are_as_they_were():
+def test_paths_are_as_in_the_golden_file():
     assert files.table("agents/paths.json") == {
         "report": wire.HEARTBEAT_PATH,
         "commands": wire.COMMANDS_PATH,
@@ -167,11 +172,11 @@
     }
 
 
-# -- reports and their answers ---------------------------------------------------------------------
+# -- heartbeats and their answers ------------------------------------------------------------------
 
 
-class OwnerOfAll:
-    """Takes every report, and has the same commands for everyone; ``machine``: None if it can't use it."""
+class StubOwner:
+    """Accepts all heartbeats, with the same commands for all machines; ``machine``: None if unusable."""
 
     fencing_token = 12
     pass_due = False
@@ -180,32 +185,32 @@
     def __init__(self, machine):
         self.machine = machine
 
-    def on_heartbeat(self, report, now_us, wall_us):
+    def on_heartbeat(self, heartbeat, now_us, wall_us):
         return self.machine
 
     def commands_for(self, machine, starts):
-        return ORDERS if starts else ORDERS[1:]
+        return COMMANDS if starts else COMMANDS[1:]
 
     def on_heartbeat_answered(self, machine, now_us):
         pass
 
 
-MACHINE = SimpleNamespace(name="i-1")
-LAID_OUT = [("layout", 1, ShardLayoutRecord(["north", "south"])), ("e/part/0", 2, WriteFenceRecord())]
+STUB_MACHINE = SimpleNamespace(name="i-1")
+LAYOUT_RECORDS = [("layout", 1, ShardLayoutRecord(["north", "south"])), ("e/part/0", 2, WriteFenceRecord())]
 
 
-def held(node, part=0, stamp=12):
-    return (f"part/{part}", stamp, LeaseHolderRecord(node, 2))
+def lease_holder(node, shard_id=0, version=12):
+    return (f"part/{shard_id}", version, LeaseHolderRecord(node, 2))
 
 
-def controller(records=(), owner=None, awake=True, cut_off=False, detour_us=0, now_us=10**12):
-    view = Replica()
-    for key, stamp, record in [*LAID_OUT, *records]:
-        view.put(key, stamp, msgspec.json.encode(record), 0)
+def make_gateway(records=(), owner=None, may_act=True, kv_unavailable=False, redirect_us=0, now_us=10**12):
+    replica = Replica()
+    for key, version, record in [*LAYOUT_RECORDS, *records]:
+        replica.put(key, version, msgspec.json.encode(record), 0)
     owners = {} if owner is None else {0: owner}
-    workers = AgentGateway(
+    gateway = AgentGateway(
         None,
-        view,
+        replica,
         owners,
         "node-0",
         2,
@@ -213,43 +218,47 @@
         lambda: now_us,
         lambda: 1,
         lambda: None,
-        detour_us,
+        redirect_us,
     )
-    workers.may_act = lambda: awake
-    workers.kv_unavailable = lambda: cut_off
-    return workers
+    gateway.may_act = lambda: may_act
+    gateway.kv_unavailable = lambda: kv_unavailable
+    return gateway
 
 
-def unlaid():
-    workers = controller()
-    workers.replica = Replica()
-    return workers
+def gateway_without_layout():
+    gateway = make_gateway()
+    gateway.replica = Replica()
+    return gateway
 
 
 SITUATIONS = {
-    "ours": lambda: controller(owner=OwnerOfAll(MACHINE)),
-    "ours, cut off from the state service": lambda: controller(owner=OwnerOfAll(MACHINE), cut_off=True),
-    "machine not usable": lambda: controller(owner=OwnerOfAll(None)),
-    "another's": lambda: controller([held("node-3")]),
-    "another's, and its holder did not answer": lambda: controller(
-        [held("node-3"), held("node-4", 1, 13)], detour_us=10**9
+    "ours": lambda: make_gateway(owner=StubOwner(STUB_MACHINE)),
+    "ours, cut off from the state service": lambda: make_gateway(
+        owner=StubOwner(STUB_MACHINE), kv_unavailable=True
+    ),
+    "machine not usable": lambda: make_gateway(owner=StubOwner(None)),
+    "another's": lambda: make_gateway([lease_holder("node-3")]),
+    "another's, and its holder did not answer": lambda: make_gateway(
+        [lease_holder("node-3"), lease_holder("node-4", 1, 13)], redirect_us=10**9
+    ),
+    "another's, and nobody else is there": lambda: make_gateway([lease_holder("node-3")], redirect_us=10**9),
+    "nobody's": lambda: make_gateway([lease_holder("")]),
+    "nobody's, and nothing is known": lambda: make_gateway(),
+    "a later holder's": lambda: make_gateway([lease_holder("node-3", version=11)]),
+    "token later than ours": lambda: make_gateway(
+        [lease_holder("node-0", version=11)], StubOwner(STUB_MACHINE)
     ),
-    "another's, and nobody else is there": lambda: controller([held("node-3")], detour_us=10**9),
-    "nobody's": lambda: controller([held("")]),
-    "nobody's, and nothing is known": lambda: controller(),
-    "a later holder's": lambda: controller([held("node-3", stamp=11)]),
-    "token later than ours": lambda: controller([held("node-0", stamp=11)], OwnerOfAll(MACHINE)),
-    "standing still": lambda: controller(owner=OwnerOfAll(MACHINE), awake=False),
-    "not laid out": unlaid,
-    "wrong method": lambda: controller(),
-    "not JSON": lambda: controller(),
-    "field missing": lambda: controller(),
-    "unknown state": lambda: controller(),
+    "standing still": lambda: make_gateway(owner=StubOwner(STUB_MACHINE), may_act=False),
+    "not laid out": gateway_without_layout,
+    "wrong method": lambda: make_gateway(),
+    "not JSON": lambda: make_gateway(),
+    "field missing": lambda: make_gateway(),
+    "unknown state": lambda: make_gateway(),
 }
 
 
 @pytest.mark.parametrize("name", SITUATIONS)
-def test_a_report_is_answered_as_it_was(name):
+def test_heartbeats_are_answered_as_in_the_golden_file(name):
     golden = EXCHANGES[name]
     request = SimpleNamespace(method=golden["method"], body=golden["body"].encode())
     status, body, headers = SITUATIONS[name]().handle_heartbeat(request)
@@ -272,22 +281,22 @@
 }
 
 
-def an_agent():
-    """An agent in its fourth session that knows token 12 and has reported five times."""
+def make_agent():
+    """Return an agent of incarnation 4 with fencing token 12, which has sent five heartbeats."""
     machine = Machine("i-1", "10.0.0.1:9000", "g8", "north", True, 8.0, 1.0, 64.0)
     timing = Timing(2_000_000, 16_000_000, 30_000_000, 8_000_000)
-    rng = SimpleNamespace(choice=min, uniform=max)
-    session = Session(machine, timing, {"node-0": "10.0.0.2:8080"}, 4, 0, rng)
+    random_stub = SimpleNamespace(choice=min, uniform=max)
+    session = Session(machine, timing, {"node-0": "10.0.0.2:8080"}, 4, 0, random_stub)
     session.seq, session.token = 5, 12
-    out = Agent.__new__(Agent)
-    out.session, out.gangs = session, gangs.Gangs(None, None, "10.0.0.1:9000")
-    out._carry_out = lambda effects: None
-    return out
+    agent_under_test = Agent.__new__(Agent)
+    agent_under_test.session, agent_under_test.gangs = session, gangs.Gangs(None, None, "10.0.0.1:9000")
+    agent_under_test._carry_out = lambda effects: None
+    return agent_under_test
 
 
 @pytest.mark.parametrize("name", sorted(AGENT_SITUATIONS))
-def test_an_agent_answers_as_it_did(name):
-    golden = OF_AGENTS[name]
+def test_requests_to_an_agent_are_answered_as_in_the_golden_file(name):
+    golden = AGENT_EXCHANGES[name]
     request = SimpleNamespace(method=golden["method"], path=golden["path"], body=golden["body"].encode())
-    status, body, headers = asyncio.run(an_agent().handle(request))
+    status, body, headers = asyncio.run(make_agent().handle(request))
     assert (status, body.decode(), headers) == (golden["status"], golden["answer"], golden["headers"])
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -1,4 +1,4 @@
-"""What controllers of one cluster say to each other: status, ends of jobs, and the refusals."""
+"""Messages between the controllers of a cluster match the golden files: status, cancellations, errors."""
 
 import asyncio
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 from pearstep.protocol import controller_messages as wire
 from tests.golden import files
 
-QUIET = dict(
+MINIMAL_STATUS = dict(
     node="node-3",
     kv_reachable=False,
     cloud_reachable=False,
@@ -29,13 +29,13 @@
         more=True,
         uptime_us=2_500_000,
     ),
-    "status_nulls": QUIET,
-    "status_none_cancelled": QUIET | dict(cancelled=[]),
+    "status_nulls": MINIMAL_STATUS,
+    "status_none_cancelled": MINIMAL_STATUS | dict(cancelled=[]),
 }
-# As a node of an earlier release says it: fields that are missing have their defaults.
-EARLIER = {"status_earlier": QUIET | dict(node="node-3", kv_reachable=True)}
-ENDS = {"ends": [["req-7", 412, 1_700_000_000_000_001]], "ends_none": []}
-QUESTIONS = {
+# A status from a node of an earlier release: missing fields get their defaults.
+STATUSES_OF_EARLIER_RELEASE = {"status_earlier": MINIMAL_STATUS | dict(node="node-3", kv_reachable=True)}
+BROADCASTS = {"ends": [["req-7", 412, 1_700_000_000_000_001]], "ends_none": []}
+QUERIES = {
     "cloud and workers": PeerQuery(cloud=True),
     "workers": PeerQuery(),
     "nothing": PeerQuery(workers=False),
@@ -43,38 +43,40 @@
     "everything": PeerQuery(True, True, 0),
 }
 EXCHANGES = files.table("peers/exchanges.json")
-OTHERS = {"questions", "exchanges"}
+OTHER_FILES = {"questions", "exchanges"}
 
 
-def test_every_file_of_the_area_is_looked_at():
-    names = {*STATUSES, *EARLIER, *ENDS, *OTHERS}
+def test_every_golden_file_of_the_area_is_covered():
+    names = {*STATUSES, *STATUSES_OF_EARLIER_RELEASE, *BROADCASTS, *OTHER_FILES}
     assert files.names("peers") == {f"peers/{name}.json" for name in names}
     assert EXCHANGES.keys() == SITUATIONS.keys()
 
 
-@pytest.mark.parametrize("name", STATUSES | EARLIER)
-def test_a_status_has_these_fields_and_is_written_as_it_was(name):
+@pytest.mark.parametrize("name", STATUSES | STATUSES_OF_EARLIER_RELEASE)
+def test_statuses_are_decoded_and_encoded_as_in_the_golden_files(name):
     body = files.read(f"peers/{name}.json")
     status = msgspec.json.decode(body, type=PeerStatus)
-    assert files.fields(status) == (STATUSES | EARLIER)[name]
-    assert name in EARLIER or msgspec.json.encode(status) == body
+    assert files.fields(status) == (STATUSES | STATUSES_OF_EARLIER_RELEASE)[name]
+    assert name in STATUSES_OF_EARLIER_RELEASE or msgspec.json.encode(status) == body
 
 
-@pytest.mark.parametrize("name", ENDS)
-def test_ends_have_these_fields_and_are_written_as_they_were(name):
+@pytest.mark.parametrize("name", BROADCASTS)
+def test_cancellation_broadcasts_are_decoded_and_encoded_as_in_the_golden_files(name):
     body = files.read(f"peers/{name}.json")
-    ends = msgspec.json.decode(body, type=CancellationBroadcast)
-    assert files.fields(ends) == {"cancelled": ENDS[name]}
-    assert msgspec.json.encode(ends) == body
+    broadcast = msgspec.json.decode(body, type=CancellationBroadcast)
+    assert files.fields(broadcast) == {"cancelled": BROADCASTS[name]}
+    assert msgspec.json.encode(broadcast) == body
 
 
-def test_questions_are_put_as_they_were():
+def test_paths_of_queries_are_as_in_the_golden_file():
     paths = {"status": wire.PEER_STATUS_PATH, "ends": wire.PEER_CANCELLATIONS_PATH}
-    assert files.table("peers/questions.json") == paths | {name: q.path for name, q in QUESTIONS.items()}
+    assert files.table("peers/questions.json") == paths | {
+        name: query.path for name, query in QUERIES.items()
+    }
 
 
 @pytest.mark.parametrize(
-    "asked, question",
+    "query_string, query",
     [
         ("", PeerQuery(False, True, None)),
         ("cloud=1", PeerQuery(True, True, None)),
@@ -83,29 +85,31 @@
         ("after=x", PeerQuery(False, True, None)),
     ],
 )
-def test_questions_are_understood_as_they_were(asked, question):
-    arguments = {name: [value.encode()] for name, _, value in (w.partition("=") for w in asked.split("&"))}
-    assert PeerQuery.read(arguments) == question
+def test_query_strings_are_parsed(query_string, query):
+    arguments = {
+        name: [value.encode()] for name, _, value in (part.partition("=") for part in query_string.split("&"))
+    }
+    assert PeerQuery.read(arguments) == query
 
 
-def mesh(starting=False):
-    """A node that says what ``status_all`` holds, or one that has only just begun."""
-    out = PeerClient(None, {})
+def make_peer_client(is_starting=False):
+    """Return the interface of a node that answers with ``status_all``, or of one that is still starting."""
+    peer_client = PeerClient(None, {})
 
-    async def status(question):
+    async def status(query):
         return msgspec.json.decode(files.read("peers/status_all.json"), type=PeerStatus)
 
-    if not starting:
-        out.answer_query, out.apply_cancellations = status, lambda ends: None
-    return out
+    if not is_starting:
+        peer_client.answer_query, peer_client.apply_cancellations = status, lambda broadcast: None
+    return peer_client
 
 
 SITUATIONS = {
     "status": {},
-    "status, starting": dict(starting=True),
+    "status, starting": dict(is_starting=True),
     "status, wrong method": {},
     "ends": {},
-    "ends, starting": dict(starting=True),
+    "ends, starting": dict(is_starting=True),
     "ends, wrong method": {},
     "ends, not JSON": {},
     "ends, field missing": {},
@@ -114,10 +118,10 @@
 
 
 @pytest.mark.parametrize("name", SITUATIONS)
-def test_a_peer_is_answered_as_it_was(name):
+def test_requests_of_peers_are_answered_as_in_the_golden_file(name):
     golden = EXCHANGES[name]
     request = SimpleNamespace(
         method=golden["method"], path=golden["path"], body=golden["body"].encode(), arguments={}
     )
-    status, body, headers = asyncio.run(mesh(**SITUATIONS[name]).handle(request))
+    status, body, headers = asyncio.run(make_peer_client(**SITUATIONS[name]).handle(request))
     assert (status, body.decode(), headers) == (golden["status"], golden["answer"], golden["headers"])
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -2,7 +2,7 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
-from pearstep.protocol.controller_messages import VERB_OUT, encode_commands
+from pearstep.protocol.controller_messages import OPERATION_TO_WIRE, encode_commands
 from pearstep.shard.commands import Command, CommandAction, Heartbeat, ShardActions
 from pearstep.state.records import DrainRecord, JobRecord, PlacementRecord, RouteRecord
 from tests.world import World, spec
@@ -541,7 +541,7 @@
 
 
 def test_typed_command_goes_out_as_the_tuple_of_its_fields():
-    assert {action.value for action in CommandAction} == VERB_OUT.keys()
+    assert {action.value for action in CommandAction} == OPERATION_TO_WIRE.keys()
     commands = [Command(CommandAction.STOP, "req-1/0", 2, 1.5), Command(CommandAction.START, "req-1/1", 1)]
     assert commands == [("stop", "req-1/0", 2, 1.5), ("start", "req-1/1", 1, None)]
     assert encode_commands(7, commands) == encode_commands(7, [tuple(command) for command in commands])
