--- a/pearstep/cli/services.py
+++ b/pearstep/cli/services.py
@@ -112,6 +112,6 @@
         except asyncio.CancelledError:
             pass
         finally:
-            one.end_all()
+            one.stop_all()
 
     asyncio.run(run())
--- a/pearstep/emulator/__init__.py
+++ b/pearstep/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of the platform's state service and cloud on one machine."""
+"""Emulators of the platform's state service and cloud, for a cluster on one machine."""
--- a/pearstep/local/layout.py
+++ b/pearstep/local/layout.py
@@ -89,7 +89,7 @@
         copies,
         copies,
         [TeamLimit("default")],
-        [MachineKind("local", per_machine, max(memory_gb / machines, 0.5), most=machines)],
+        [MachineKind("local", per_machine, max(memory_gb / machines, 0.5), max_instances=machines)],
     )
     if site:
         cluster.site, cluster.links = site, at("node", nodes)
--- a/tests/test_golden_cloud.py
+++ b/tests/test_golden_cloud.py
@@ -129,10 +129,17 @@
 EXHAUSTED_LIMITER = SimpleNamespace(try_acquire=lambda *amount: False)
 
 KIND = dict(
-    name="g8", cpus=96.0, memory_gb=384.5, gpus=8.0, price=30.0, boot_s=1.5, most=2, zones=["north", "south"]
+    name="g8",
+    cpus=96.0,
+    memory_gb=384.5,
+    gpus=8.0,
+    price=30.0,
+    boot_s=1.5,
+    max_instances=2,
+    zones=["north", "south"],
 )
 MINIMAL_KIND = dict(
-    name="small", cpus=32.0, memory_gb=128.0, gpus=0.0, price=1.0, boot_s=0.5, most=4, zones=["a"]
+    name="small", cpus=32.0, memory_gb=128.0, gpus=0.0, price=1.0, boot_s=0.5, max_instances=4, zones=["a"]
 )
 
 
--- a/tests/test_golden_local.py
+++ b/tests/test_golden_local.py
@@ -29,7 +29,7 @@
             gpus=8.5,
             price=30.5,
             boot_s=1.5,
-            most=2,
+            max_instances=2,
             zones=["north", "south"],
         )
     ],
