--- a/measurements/archive_kills.py
+++ b/measurements/archive_kills.py
@@ -91,7 +91,7 @@
         from pearstep.transport.clock import now_us
 
         while True:
-            self.state.keys.expire(now_us())
+            self.state.keys.expire_leases(now_us())
             await asyncio.sleep(0.05)
 
     def new_machine(self) -> None:
--- a/measurements/simulation/platform.py
+++ b/measurements/simulation/platform.py
@@ -11,7 +11,7 @@
 from measurements.simulation.clock import Life, VirtualLoop
 from measurements.simulation.net import Request
 from pearstep.domain.machine_type import MachineType
-from pearstep.emulator.state_service import TICK_S, StateService
+from pearstep.emulator.state_service import EXPIRY_INTERVAL_S, StateService
 from pearstep.protocol import emulator_messages as wire
 from pearstep.transport.http import Answer
 from pearstep.transport.rate_limiter import RateLimiter
@@ -51,14 +51,14 @@
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             before = self.keys.revision
-            if not self.away and self.keys.expire(self.life.now_us()):
-                super()._keep(before)
+            if not self.away and self.keys.expire_leases(self.life.now_us()):
+                super()._persist_changes(before)
 
-    def _keep(self, before: int) -> None:
-        super()._keep(before)
-        for _, key, value in self.keys.changes("", before) or ():
+    def _persist_changes(self, before: int) -> None:
+        super()._persist_changes(before)
+        for _, key, value in self.keys.changes_after("", before) or ():
             for step in self.steps:
                 step(key, value)
 
@@ -67,7 +67,7 @@
         self.away += 1 if away else -1
         if not self.away:
             for lease in list(self.keys.leases):
-                self.keys.renew(lease, self.life.now_us())
+                self.keys.renew_lease(lease, self.life.now_us())
 
     def door(self, host: str) -> Callable[[Request], Awaitable[Answer]]:
         """Requests of one host."""
@@ -100,7 +100,7 @@
                 await asyncio.sleep(self.rng.uniform(0.0, SLOW_S))
             while request.path == "/changes" and refused():
                 # A watch stays open during an outage, and while its node alone is refused.
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(EXPIRY_INTERVAL_S)
             return found
 
         return answer
--- a/pearstep/emulator/key_value_store.py
+++ b/pearstep/emulator/key_value_store.py
@@ -1,4 +1,4 @@
-"""The store of the emulated state service, without input or output.
+"""The in-memory store of the emulated state service.
 
 It has keys with versions, compare-and-swap transactions, leases, and a bounded log of changes.
 """
@@ -12,21 +12,21 @@
 
 from pearstep.protocol.emulator_messages import Transaction, TransactionOperation
 
-KEPT_CHANGES = 10_000
-MOST_PAGE_BYTES = 512 * 1024
-MOST_BODY_BYTES = 64 * 1024
-MOST_KEY_BYTES = 200
-CONDITIONS_PER_OP = 4
-# What a key and a value take in a page beyond their own bytes.
+MAX_LOGGED_CHANGES = 10_000
+MAX_PAGE_BYTES = 512 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_KEY_BYTES = 200
+MAX_CONDITIONS_PER_OPERATION = 4
+# Bytes of a row in a page besides its key and value.
 ROW_OVERHEAD_BYTES = 40
 
 
 class EmulatorError(Exception):
-    """An error of the emulators."""
+    """Base class of the errors of the emulators."""
 
 
 class LeaseNotFoundError(EmulatorError):
-    """A put names a lease that doesn't exist or has expired."""
+    """A put names a lease that does not exist or has expired."""
 
 
 class Change(NamedTuple):
@@ -46,21 +46,21 @@
     lease: int | None
 
 
-class Keys:
-    """The keys, leases and changes of a state service; the caller tells the time.
+class InMemoryStore:
+    """The keys, leases and changes of a state service; callers pass the current time.
 
     Attributes:
-        revision: Counts the transactions that changed something.
+        revision: The number of transactions, and of ends of leases, that changed a key.
         keys: Version, value and lease by key.
-        leases: Duration and instant of expiry by number of the lease, in microseconds.
-        first: The first revision from which on the log has all changes.
+        leases: Duration and time of expiry by the number of the lease, in microseconds.
+        first_logged_revision: The change log is complete from this revision on.
     """
 
     def __init__(self, value_bytes: int = 16 * 1024, txn_ops: int = 16) -> None:
-        """Begin empty.
+        """Start empty.
 
         Args:
-            value_bytes: The largest size of a value.
+            value_bytes: The largest size of a value, in bytes.
             txn_ops: The largest number of changes in a transaction.
         """
         self.value_bytes = value_bytes
@@ -69,10 +69,10 @@
         self.keys: SortedDict[str, tuple[int, bytes, int | None]] = SortedDict()
         self.leases: dict[int, tuple[int, int]] = {}
         self.next_lease = 1
-        self.log: deque[Change] = deque(maxlen=KEPT_CHANGES)
-        self.first = 1
+        self.change_log: deque[Change] = deque(maxlen=MAX_LOGGED_CHANGES)
+        self.first_logged_revision = 1
 
-    def txn(self, txn: Transaction) -> int | list[str]:
+    def apply_transaction(self, transaction: Transaction) -> int | list[str]:
         """Apply a transaction as a whole, or not at all.
 
         Returns:
@@ -82,48 +82,53 @@
             LeaseNotFoundError: A put names a lease that doesn't exist.
             ValueError: The transaction is malformed or too large.
         """
-        if len(txn.ops) > self.txn_ops or len(txn.conditions) > CONDITIONS_PER_OP * self.txn_ops:
+        if (
+            len(transaction.ops) > self.txn_ops
+            or len(transaction.conditions) > MAX_CONDITIONS_PER_OPERATION * self.txn_ops
+        ):
             raise ValueError("too many changes or conditions")
-        for op in txn.ops:
-            self._check(op)
+        for op in transaction.ops:
+            self._validate(op)
         failed = [
-            condition.key for condition in txn.conditions if self.version(condition.key) != condition.version
+            condition.key
+            for condition in transaction.conditions
+            if self.version(condition.key) != condition.version
         ]
         if failed:
             return failed
-        changes = [op for op in txn.ops if op.put is not None or op.delete in self.keys]
+        changes = [op for op in transaction.ops if op.put is not None or op.delete in self.keys]
         if changes:
             self.revision += 1
         for op in changes:
-            self._apply(op.put or op.delete or "", None if op.put is None else bytes(op.value), op.lease)
+            self._write_key(op.put or op.delete or "", None if op.put is None else bytes(op.value), op.lease)
         return self.revision
 
-    def _check(self, op: TransactionOperation) -> None:
-        """Raise what is wrong with a change."""
+    def _validate(self, op: TransactionOperation) -> None:
+        """Raise an error if a change is invalid."""
         key = op.put if op.put is not None else op.delete
-        if (op.put is None) == (op.delete is None) or not key or len(key) > MOST_KEY_BYTES or " " in key:
+        if (op.put is None) == (op.delete is None) or not key or len(key) > MAX_KEY_BYTES or " " in key:
             raise ValueError("a change is a put or a delete of a key of 1 to 200 bytes")
         if len(bytes(op.value)) > self.value_bytes:
             raise ValueError("value too large")
         if op.put is not None and op.lease is not None and op.lease not in self.leases:
             raise LeaseNotFoundError
 
-    def _apply(self, key: str, value: bytes | None, lease: int | None) -> None:
-        """Put or delete a key at the present revision."""
+    def _write_key(self, key: str, value: bytes | None, lease: int | None) -> None:
+        """Put or delete a key at the current revision."""
         if value is None:
             del self.keys[key]
         else:
             self.keys[key] = (self.revision, value, lease)
-        if len(self.log) == KEPT_CHANGES:
-            self.first = self.log[0].revision + 1
-        self.log.append(Change(self.revision, key, value))
+        if len(self.change_log) == MAX_LOGGED_CHANGES:
+            self.first_logged_revision = self.change_log[0].revision + 1
+        self.change_log.append(Change(self.revision, key, value))
 
     def version(self, key: str) -> int:
         """Return the revision of a key's last change; 0 if it doesn't exist."""
         found = self.keys.get(key)
         return found[0] if found else 0
 
-    def page(self, prefix: str, after: str, limit: int) -> tuple[list[PageRow], bool]:
+    def read_page(self, prefix: str, after: str, limit: int) -> tuple[list[PageRow], bool]:
         """Return keys with a prefix that follow the key ``after``, and whether there are more."""
         rows: list[PageRow] = []
         size = 0
@@ -132,17 +137,17 @@
                 return rows, False
             version, value, lease = self.keys[key]
             size += len(value) + len(key) + ROW_OVERHEAD_BYTES
-            if len(rows) >= limit or (rows and size > MOST_PAGE_BYTES):
+            if len(rows) >= limit or (rows and size > MAX_PAGE_BYTES):
                 return rows, True
             rows.append(PageRow(key, version, value, lease))
         return rows, False
 
-    def changes(self, prefix: str, after: int) -> list[tuple[int, str, bytes | None]] | None:
-        """Return the changes after a revision; None if the log doesn't reach back so far."""
-        if after + 1 < self.first:
+    def changes_after(self, prefix: str, after: int) -> list[tuple[int, str, bytes | None]] | None:
+        """Return the changes after a revision; None if the log is not complete from there on."""
+        if after + 1 < self.first_logged_revision:
             return None
         newest_first: list[tuple[int, str, bytes | None]] = []
-        for change in reversed(self.log):
+        for change in reversed(self.change_log):
             if change.revision <= after:
                 break
             if change.key.startswith(prefix):
@@ -151,14 +156,14 @@
 
     # -- leases ----------------------------------------------------------------------------------
 
-    def grant(self, ttl_us: int, now_us: int) -> int:
+    def grant_lease(self, ttl_us: int, now_us: int) -> int:
         """Grant a lease and return its number."""
         lease = self.next_lease
         self.next_lease += 1
         self.leases[lease] = (ttl_us, now_us + ttl_us)
         return lease
 
-    def renew(self, lease: int, now_us: int) -> bool:
+    def renew_lease(self, lease: int, now_us: int) -> bool:
         """Renew a lease for its full duration; False if it doesn't exist."""
         if lease not in self.leases:
             return False
@@ -166,28 +171,28 @@
         self.leases[lease] = (ttl, now_us + ttl)
         return True
 
-    def end(self, lease: int) -> bool:
+    def end_lease(self, lease: int) -> bool:
         """End a lease and delete its keys; False if it doesn't exist."""
         if self.leases.pop(lease, None) is None:
             return False
-        held = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
-        if held:
+        lease_keys = [key for key, (_, _, key_lease) in self.keys.items() if key_lease == lease]
+        if lease_keys:
             self.revision += 1
-            for key in held:
-                self._apply(key, None, None)
+            for key in lease_keys:
+                self._write_key(key, None, None)
         return True
 
-    def expire(self, now_us: int) -> bool:
-        """End the leases that have expired; tell whether there were any."""
+    def expire_leases(self, now_us: int) -> bool:
+        """End the leases that have expired; return whether there were any."""
         expired = [lease for lease, (_, expires_at_us) in self.leases.items() if now_us > expires_at_us]
         for lease in expired:
-            self.end(lease)
+            self.end_lease(lease)
         return bool(expired)
 
     # -- persistence -----------------------------------------------------------------------------
 
     def dump(self) -> dict[str, Any]:
-        """Return what must outlive the process."""
+        """Return the state that has to survive a restart."""
         return {
             "revision": self.revision,
             "next_lease": self.next_lease,
@@ -196,11 +201,11 @@
         }
 
     def load(self, data: dict[str, Any], now_us: int) -> None:
-        """Restore what ``dump`` returned; leases begin their full duration again."""
+        """Restore the result of ``dump``; leases start their full duration again."""
         self.revision, self.next_lease = data["revision"], data["next_lease"]
         self.leases = {lease: (ttl_us, now_us + ttl_us) for lease, ttl_us in data["leases"]}
         self.keys = SortedDict(
             {key: (version, raw.encode(), lease) for key, version, raw, lease in data["keys"]}
         )
-        self.log.clear()
-        self.first = self.revision + 1
+        self.change_log.clear()
+        self.first_logged_revision = self.revision + 1
--- a/tests/test_archive_service.py
+++ b/tests/test_archive_service.py
@@ -90,7 +90,7 @@
     def lose(self, name):
         """The node is cut off, and its lease ends."""
         self.cut.add(name)
-        self.state.keys.end(self.nodes[name].joining.lease)
+        self.state.keys.end_lease(self.nodes[name].joining.lease)
 
     async def repair(self):
         done = 0
@@ -157,7 +157,7 @@
         site.nodes["ar-1"].joining.lease = None
         await site.settle()
         site.nodes["ar-2"].writer.close()
-        site.state.keys.end(site.nodes["ar-2"].joining.lease)
+        site.state.keys.end_lease(site.nodes["ar-2"].joining.lease)
         site.add("ar-2", "a new disk")
         await site.settle()
         await site.repair()
@@ -247,7 +247,7 @@
         texts = {key: b"some text" for key in keys(24)}
         for key, text in texts.items():
             await site.write(key, text)
-        site.state.keys.end(site.nodes["ar-0"].joining.lease)
+        site.state.keys.end_lease(site.nodes["ar-0"].joining.lease)
         site.nodes["ar-0"].writer.close()
         site.add("ar-0", "an empty disk")
         asked = site.addrs["ar-0"]
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -19,7 +19,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.domain.team import Team
 from pearstep.domain.units import SECOND_US
-from pearstep.emulator.key_value_store import Keys, LeaseNotFoundError
+from pearstep.emulator.key_value_store import InMemoryStore, LeaseNotFoundError
 from pearstep.history import blocks, tree
 from pearstep.history import extension as place_module
 from pearstep.history.eligibility import all_settled, settled
@@ -43,7 +43,7 @@
     """The state service; ``late`` transactions were sent and may be applied at any later time."""
 
     def __init__(self):
-        self.keys = Keys()
+        self.keys = InMemoryStore()
         self.late = []
         self.now = SECOND_US
         self.accepted = set()
@@ -54,7 +54,7 @@
         txn = decode_transaction(body)
         assert len(txn.ops) <= 16 and len(txn.conditions) <= 64
         try:
-            found = self.keys.txn(txn)
+            found = self.keys.apply_transaction(txn)
         except LeaseNotFoundError:
             return CommitResult(CommitOutcome.NO_LEASE)
         if isinstance(found, list):
@@ -93,7 +93,7 @@
         return CommitResult(CommitOutcome.UNKNOWN) if mode == "lost" else outcome
 
     async def read_changes(self, after, wait_ms, urgency=1):
-        log = self.world.keys.changes("", after)
+        log = self.world.keys.changes_after("", after)
         if self.too_old or log is None:
             self.too_old = False
             return 410
@@ -104,7 +104,7 @@
         return wire.Changes(self.world.keys.revision, events)
 
     async def read_page(self, prefix, after, urgency=1):
-        found, more = self.world.keys.page(prefix, after or "", 3)
+        found, more = self.world.keys.read_page(prefix, after or "", 3)
         pairs = [wire.KeyValue(k, msgspec.Raw(raw), v) for k, v, raw, _ in found]
         return wire.KeyPage(pairs, self.world.keys.revision, more)
 
@@ -154,10 +154,10 @@
         self.lease()
 
     def lease(self):
-        self.leases.lease_id = self.world.keys.grant(10**15, 0)
+        self.leases.lease_id = self.world.keys.grant_lease(10**15, 0)
 
     def lose_lease(self):
-        self.world.keys.end(self.leases.lease_id)
+        self.world.keys.end_lease(self.leases.lease_id)
         self.lease()
 
     async def read(self):
@@ -174,7 +174,7 @@
     for part in range(PARTS):
         raw = msgspec.json.encode(LeaseHolderRecord(f"n{part}", 2))
         world.keys.revision += 1
-        world.keys._apply(f"part/{part}", raw, None)
+        world.keys._write_key(f"part/{part}", raw, None)
 
 
 async def stage(node, ref):
@@ -286,7 +286,7 @@
     """A node that nobody disturbs brings everything to its end."""
     world.late.clear()
     for lease in list(world.keys.leases):
-        world.keys.end(lease)
+        world.keys.end_lease(lease)
     node = await Node(world, "n0").start()
     await node.read()
     for _ in range(150):
@@ -531,7 +531,7 @@
     async def all_of_it(world):
         one, _ = await one_moved(world)
         world.keys.revision += 1
-        world.keys._apply(roots_of(world)[0], b"[[],0]", None)
+        world.keys._write_key(roots_of(world)[0], b"[[],0]", None)
         await one.follower.read_barrier()
         assert (await one.job_api.poll(REFS[0]))[0] == 200
         assert one.compacting.reader.damaged == roots_of(world)
@@ -589,7 +589,7 @@
     async def all_of_it(world):
         one, _ = await one_moved(world)
         for lease in list(world.keys.leases):
-            world.keys.end(lease)
+            world.keys.end_lease(lease)
         blind = Node(world, "n3")
         others = dict(blind.replica.extension_readers)
         blind.replica.extension_readers.clear()
@@ -611,7 +611,7 @@
         one, _ = await one_moved(world)
         for key, raw in (("zb/3/9-9/0", b"[1]"), ("zb/x", b'"a"'), ("hr/x", b"[[],1]"), ("hr/4", b'"a"')):
             world.keys.revision += 1
-            world.keys._apply(key, raw, None)
+            world.keys._write_key(key, raw, None)
         assert (await one.job_api.submit(msgspec.json.encode({**JOB, "ref": REFS[2]})))[0] == 201
         assert await one.follower.read_barrier()
         assert one.compacting.reader.damaged == ["zb/3/9-9/0", "zb/x", "hr/x", "hr/4"]
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The stand-ins keep the protocol's word: the state service against a model, and what survives its end."""
+"""The emulated state service: transactions against a model, leases, the change log, and crash recovery."""
 
 import asyncio
 
@@ -12,95 +12,97 @@
 from pearstep.protocol import emulator_messages as wire
 from pearstep.protocol.controller_messages import encode_transaction
 
-NAMES = st.sampled_from(["a", "a/b", "b", "c/1", "c/2"])
+KEY_NAMES = st.sampled_from(["a", "a/b", "b", "c/1", "c/2"])
 
 
-def txn(conditions, puts, deletes=()):
+def make_transaction(conditions, puts, deletes=()):
     return wire.decode_transaction(encode_transaction(conditions, puts, list(deletes)))
 
 
-@given(st.lists(st.tuples(NAMES, st.integers(0, 6), st.booleans(), st.integers(0, 3)), max_size=40))
-def test_transactions_are_whole_or_nothing_and_the_log_tells_all(steps):
-    keys, model, replica, seen = InMemoryStore(), {}, {}, 0
-    for name, stamp, delete, value in steps:
-        before = keys.revision
-        other = "b" if name != "b" else "a"
-        ops = ({}, [name]) if delete else ({name: (value, None), other: (value, None)}, [])
-        outcome = keys.apply_transaction(txn({name: stamp}, *ops))
-        if model.get(name, (0,))[0] != stamp:
-            assert outcome == [name] and keys.revision == before
+@given(st.lists(st.tuples(KEY_NAMES, st.integers(0, 6), st.booleans(), st.integers(0, 3)), max_size=40))
+def test_transactions_are_atomic_and_the_change_log_and_pages_are_complete(steps):
+    store, model, replica, last_revision = InMemoryStore(), {}, {}, 0
+    for key_name, expected_version, delete, value in steps:
+        before = store.revision
+        other_name = "b" if key_name != "b" else "a"
+        ops = ({}, [key_name]) if delete else ({key_name: (value, None), other_name: (value, None)}, [])
+        outcome = store.apply_transaction(make_transaction({key_name: expected_version}, *ops))
+        if model.get(key_name, (0,))[0] != expected_version:
+            assert outcome == [key_name] and store.revision == before
             continue
-        assert outcome == keys.revision
+        assert outcome == store.revision
         if delete:
-            model.pop(name, None)
+            model.pop(key_name, None)
         else:
-            model |= {n: (keys.revision, value) for n in (name, other)}
-        assert keys.revision == before + (1 if not delete or stamp else 0)
-        for version, key, raw in keys.changes_after("", seen):
-            replica.pop(key, None) if raw is None else replica.update(
-                {key: (version, msgspec.json.decode(raw))}
+            model |= {written_key: (store.revision, value) for written_key in (key_name, other_name)}
+        assert store.revision == before + (1 if not delete or expected_version else 0)
+        for version, key, encoded in store.changes_after("", last_revision):
+            replica.pop(key, None) if encoded is None else replica.update(
+                {key: (version, msgspec.json.decode(encoded))}
             )
-        seen = keys.revision
+        last_revision = store.revision
     assert {k: v for k, v in replica.items()} == model
-    listed, after = [], ""
+    listed_rows, after = [], ""
     while True:
-        page, more = keys.read_page("", after, 2)
-        listed += page
+        page, more = store.read_page("", after, 2)
+        listed_rows += page
         if not more:
             break
         after = page[-1][0]
-    assert {k: (v, msgspec.json.decode(raw)) for k, v, raw, _ in listed} == model
-    assert [k for k, *_ in keys.read_page("c/", "", 9)[0]] == sorted(k for k in model if k.startswith("c/"))
+    assert {k: (v, msgspec.json.decode(encoded)) for k, v, encoded, _ in listed_rows} == model
+    assert [k for k, *_ in store.read_page("c/", "", 9)[0]] == sorted(k for k in model if k.startswith("c/"))
 
 
-def test_keys_of_a_lease_go_with_it_and_late_puts_are_refused():
-    keys = InMemoryStore()
-    lease = keys.grant_lease(5_000_000, 0)
-    keys.apply_transaction(txn({}, {"part/0": (1, lease), "x": (2, None)}))
-    assert keys.renew_lease(lease, 4_000_000) and not keys.expire_leases(9_000_000)
-    assert keys.expire_leases(9_000_001) and keys.version("part/0") == 0 and keys.version("x") == 1
-    assert keys.changes_after("part/", 1) == [(2, "part/0", None)]
+def test_keys_of_a_lease_are_deleted_on_expiry_and_later_puts_are_rejected():
+    store = InMemoryStore()
+    lease = store.grant_lease(5_000_000, 0)
+    store.apply_transaction(make_transaction({}, {"part/0": (1, lease), "x": (2, None)}))
+    assert store.renew_lease(lease, 4_000_000) and not store.expire_leases(9_000_000)
+    assert store.expire_leases(9_000_001) and store.version("part/0") == 0 and store.version("x") == 1
+    assert store.changes_after("part/", 1) == [(2, "part/0", None)]
     with pytest.raises(LeaseNotFoundError):
-        keys.apply_transaction(txn({}, {"part/0": (1, lease)}))
-    assert keys.revision == 2 and not keys.renew_lease(lease, 10_000_000)
+        store.apply_transaction(make_transaction({}, {"part/0": (1, lease)}))
+    assert store.revision == 2 and not store.renew_lease(lease, 10_000_000)
 
 
-def test_a_log_that_is_too_short_says_so():
-    keys = InMemoryStore()
+def test_changes_older_than_the_log_are_reported_as_missing():
+    store = InMemoryStore()
     for i in range(MAX_LOGGED_CHANGES + 5):
-        keys.apply_transaction(txn({}, {"a": (i, None)}))
-    assert keys.changes_after("", 3) is None and len(keys.changes_after("", 5)) == MAX_LOGGED_CHANGES
+        store.apply_transaction(make_transaction({}, {"a": (i, None)}))
+    assert store.changes_after("", 3) is None and len(store.changes_after("", 5)) == MAX_LOGGED_CHANGES
 
 
 @given(st.integers(0, 400))
-def test_what_was_confirmed_is_there_after_a_torn_write(cut):
+def test_complete_transactions_are_recovered_after_a_torn_write(lost_bytes):
     import tempfile
     from pathlib import Path
 
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "keys"
 
-        async def play():
+        async def scenario():
             service = StateService(str(file), 1e6, 1e6, 16, 16)
             lease = service.keys.grant_lease(5_000_000, 0)
             for i in range(6):
                 before = service.keys.revision
                 service.keys.apply_transaction(
-                    txn({}, {f"k/{i}": (i, lease if i % 2 else None), "both": (i, None)})
+                    make_transaction({}, {f"k/{i}": (i, lease if i % 2 else None), "both": (i, None)})
                 )
                 service._persist_changes(before)
-            whole = file.read_bytes()
-            file.write_bytes(whole[: max(len(whole) - cut, whole.index(b"\n") + 1)])
-            lines = file.read_bytes().count(b"\n")
-            again = StateService(str(file), 1e6, 1e6, 16, 16)
-            count = lines - 1
-            assert again.keys.revision == count
-            assert sorted(again.keys.keys) == (["both"] if count else []) + [f"k/{i}" for i in range(count)]
-            # All or nothing of each transaction, and leases go on.
-            if count:
+            content = file.read_bytes()
+            file.write_bytes(content[: max(len(content) - lost_bytes, content.index(b"\n") + 1)])
+            line_count = file.read_bytes().count(b"\n")
+            restored = StateService(str(file), 1e6, 1e6, 16, 16)
+            transaction_count = line_count - 1
+            assert restored.keys.revision == transaction_count
+            assert sorted(restored.keys.keys) == (["both"] if transaction_count else []) + [
+                f"k/{i}" for i in range(transaction_count)
+            ]
+            # Transactions are recovered whole or not at all, and leases survive.
+            if transaction_count:
                 assert (
-                    msgspec.json.decode(again.keys.keys["both"][1]) == count - 1
-                    and lease in again.keys.leases
+                    msgspec.json.decode(restored.keys.keys["both"][1]) == transaction_count - 1
+                    and lease in restored.keys.leases
                 )
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/tests/test_golden_state_service.py
+++ b/tests/test_golden_state_service.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from pearstep.emulator.key_value_store import Keys
+from pearstep.emulator.key_value_store import InMemoryStore
 from pearstep.emulator.state_service import StateService
 from pearstep.protocol import controller_messages as wire
 from pearstep.protocol import emulator_messages as emulator_wire
@@ -140,7 +140,7 @@
 
 
 def test_dump_of_the_emulator_is_loaded_and_written_as_in_the_golden_file():
-    store = Keys()
+    store = InMemoryStore()
     store.load(msgspec.json.decode(read_golden("emulator_dump")), 1_000)
     assert (store.revision, store.next_lease, store.leases) == (413, 18, {17: (6_000_000, 6_001_000)})
     assert dict(store.keys) == {"j/req-7": (412, b'{"at_us":1}', None), "part/3": (413, b'{"node":"n"}', 17)}
@@ -155,13 +155,13 @@
     assert dict(service.keys.keys) == {"j/req-7": (414, b'{"at_us":2}', None), "leader": (415, b"{}", 18)}
     restored = StateService(str(tmp_path / "again"), 1000.0, 1000.0, 16.0, 16)
     restored.keys.load(msgspec.json.decode(read_golden("emulator_dump")), 1_000)
-    restored.keys.grant(5_000_000, 1_000)
+    restored.keys.grant_lease(5_000_000, 1_000)
     put_job = emulator_wire.TransactionOperation(put="j/req-7", value=msgspec.Raw(b'{"at_us":2}'))
     put_leader = emulator_wire.TransactionOperation(put="leader", value=msgspec.Raw(b"{}"), lease=18)
-    restored.keys.txn(
+    restored.keys.apply_transaction(
         emulator_wire.Transaction(ops=[put_job, emulator_wire.TransactionOperation(delete="part/3")])
     )
-    restored.keys.txn(emulator_wire.Transaction(ops=[put_leader]))
+    restored.keys.apply_transaction(emulator_wire.Transaction(ops=[put_leader]))
     del restored.keys.leases[17]
-    restored._keep(413)
+    restored._persist_changes(413)
     assert (tmp_path / "again").read_bytes().split(b"\n")[1] == read_golden("emulator_log")
--- a/tests/test_state_compact.py
+++ b/tests/test_state_compact.py
@@ -42,7 +42,9 @@
 
     def put(self, puts):
         rows = {key: (value, None) for key, value in puts.items()}
-        assert isinstance(self.keys.txn(decode_transaction(encode_transaction({}, rows, []))), int)
+        assert isinstance(
+            self.keys.apply_transaction(decode_transaction(encode_transaction({}, rows, []))), int
+        )
 
     def add_controllers(self, node_version=2):
         for shard_id in range(SHARDS):
@@ -198,7 +200,7 @@
         first = alone.leases.lease_id
         _, expires_us = service.keys.leases[first]
         await until(lambda: service.keys.leases[first][1] > expires_us)
-        service.keys.end(first)
+        service.keys.end_lease(first)
         await until(lambda: alone.leases.lease_id != first)
         assert list(service.keys.leases) == [alone.leases.lease_id]
         keeper.cancel()
--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -17,7 +17,7 @@
 from pearstep.domain.attempt import AttemptState
 from pearstep.domain.task_set import parse_task_ranges
 from pearstep.domain.team import Team
-from pearstep.emulator.key_value_store import Keys
+from pearstep.emulator.key_value_store import InMemoryStore
 from pearstep.emulator.state_service import StateService
 from pearstep.leader.route_plan import RoutePlan
 from pearstep.protocol import emulator_messages as wire
@@ -90,11 +90,11 @@
 
     @property
     def log(self):
-        return self.held.log
+        return self.held.change_log
 
     def txn(self, conditions, puts, deletes=None):
         body = encode_transaction(conditions, {k: (v, None) for k, v in puts.items()}, deletes or [])
-        return self.held.txn(wire.decode_transaction(body))
+        return self.held.apply_transaction(wire.decode_transaction(body))
 
 
 class Site(World):
@@ -312,17 +312,19 @@
 
 
 def test_stand_in_keeps_to_the_limits_of_a_transaction():
-    keys = Keys(value_bytes=2048, txn_ops=4)
+    keys = InMemoryStore(value_bytes=2048, txn_ops=4)
     sixteen = dict.fromkeys((f"a/{n}" for n in range(16)), 0)
     four = {f"b/{n}": ("x" * 2000, None) for n in range(4)}
-    assert isinstance(keys.txn(wire.decode_transaction(encode_transaction(sixteen, four, []))), int)
+    assert isinstance(
+        keys.apply_transaction(wire.decode_transaction(encode_transaction(sixteen, four, []))), int
+    )
     for conditions, puts in (
         ({**sixteen, "a/16": 0}, four),
         (sixteen, {**four, "b/4": ("", None)}),
         ({}, {"b/0": ("x" * 2047, None)}),
     ):
         with pytest.raises(ValueError):
-            keys.txn(wire.decode_transaction(encode_transaction(conditions, puts, [])))
+            keys.apply_transaction(wire.decode_transaction(encode_transaction(conditions, puts, [])))
 
     async def body(size):
         service = Service(64, 64)
