--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""``KNOWN-RED.txt``: what is passed over, what is printed, and all that fails the run all the same."""
+"""``KNOWN-RED.txt``: which failures are tolerated and printed, and which outcomes still fail the run."""
 
 import os
 import subprocess
@@ -31,16 +31,16 @@
 def test_unready(broken):
     pass
 """
-RED = "test_it.py::{} | a cause | issue 7\n"
+KNOWN_RED_LINE = "test_it.py::{} | a cause | issue 7\n"
 
 
-def play(tmp_path, names, *args, red=None):
-    """A run of some of those tests with a list: exit code and output."""
+def run_pytest(tmp_path, test_names, *args, known_red=None):
+    """Run some of these tests with a list; return exit code and output."""
     (tmp_path / "test_it.py").write_text(TESTS)
     (tmp_path / "test_other.py").write_text("def test_other():\n    pass\n")
-    if red is not None:
-        (tmp_path / "KNOWN-RED.txt").write_text(red)
-    done = subprocess.run(
+    if known_red is not None:
+        (tmp_path / "KNOWN-RED.txt").write_text(known_red)
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -52,7 +52,7 @@
             "--rootdir",
             str(tmp_path),
             "-k",
-            " or ".join(names),
+            " or ".join(test_names),
             *args,
         ],
         cwd=tmp_path,
@@ -60,37 +60,39 @@
         text=True,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_listed_failure_is_printed_and_passed_over_and_no_other(tmp_path):
-    red = RED.format("test_bad")
-    code, out = play(tmp_path, ["good", "bad"], red=red)
-    assert code == 0 and "KNOWN RED test_it.py::test_bad: a cause (issue 7)" in out
-    assert "the fault itself" in out and "1 passed" in out
-    code, out = play(tmp_path, ["good", "bad", "worse"], red=red)
-    assert code == 1 and "1 failed" in out and "test_worse" in out
-    # A test that does not even come to its own lines has not shown the fault that is listed.
-    assert play(tmp_path, ["unready"], red=RED.format("test_unready"))[0] == 1
+def test_only_listed_failures_are_tolerated_and_printed(tmp_path):
+    known_red = KNOWN_RED_LINE.format("test_bad")
+    exit_code, output = run_pytest(tmp_path, ["good", "bad"], known_red=known_red)
+    assert exit_code == 0 and "KNOWN RED test_it.py::test_bad: a cause (issue 7)" in output
+    assert "the fault itself" in output and "1 passed" in output
+    exit_code, output = run_pytest(tmp_path, ["good", "bad", "worse"], known_red=known_red)
+    assert exit_code == 1 and "1 failed" in output and "test_worse" in output
+    # A test that fails in its setup has not shown the listed fault.
+    assert run_pytest(tmp_path, ["unready"], known_red=KNOWN_RED_LINE.format("test_unready"))[0] == 1
 
 
-@pytest.mark.parametrize("red", [None, "", "\n"])
-def test_without_a_list_every_failure_counts(tmp_path, red):
-    assert play(tmp_path, ["good"], red=red)[0] == 0
-    assert play(tmp_path, ["good", "bad"], red=red)[0] == 1
+@pytest.mark.parametrize("known_red", [None, "", "\n"])
+def test_without_a_list_every_failure_fails_the_run(tmp_path, known_red):
+    assert run_pytest(tmp_path, ["good"], known_red=known_red)[0] == 0
+    assert run_pytest(tmp_path, ["good", "bad"], known_red=known_red)[0] == 1
 
 
-def test_list_that_is_out_of_date_or_too_long_fails_the_run(tmp_path):
-    for red, said in (
-        (RED.format("test_good"), "passes and is listed"),
-        (RED.format("test_skipped"), "was not run and is listed"),
-        (RED.format("test_none"), "there is no test test_it.py::test_none"),
-        ("".join(RED.format(f"test_{n}") for n in range(4)), "4 tests, 3 at most"),
+def test_stale_or_too_long_list_fails_the_run(tmp_path):
+    for known_red, message in (
+        (KNOWN_RED_LINE.format("test_good"), "passes and is listed"),
+        (KNOWN_RED_LINE.format("test_skipped"), "was not run and is listed"),
+        (KNOWN_RED_LINE.format("test_none"), "there is no test test_it.py::test_none"),
+        ("".join(KNOWN_RED_LINE.format(f"test_{n}") for n in range(4)), "4 tests, 3 at most"),
         ("test_it.py::test_bad\n", "not of the form"),
     ):
-        code, out = play(tmp_path, ["good", "skipped"], red=red)
-        assert code != 0 and said in out, out
-    # A run of another file can't tell whether a test is there, unless its file is gone.
-    assert play(tmp_path, ["other"], "test_other.py", red=RED.format("test_none"))[0] == 0
-    gone = RED.format("test_none").replace("test_it", "test_gone")
-    assert play(tmp_path, ["other"], "test_other.py", red=gone)[0] != 0
+        exit_code, output = run_pytest(tmp_path, ["good", "skipped"], known_red=known_red)
+        assert exit_code != 0 and message in output, output
+    # A run of another file can't check whether a listed test exists, unless its file was removed.
+    assert (
+        run_pytest(tmp_path, ["other"], "test_other.py", known_red=KNOWN_RED_LINE.format("test_none"))[0] == 0
+    )
+    entry_of_removed_file = KNOWN_RED_LINE.format("test_none").replace("test_it", "test_gone")
+    assert run_pytest(tmp_path, ["other"], "test_other.py", known_red=entry_of_removed_file)[0] != 0
