--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -1,4 +1,4 @@
-"""The users' API over HTTP, against a small emulator of the state service."""
+"""The users' API over HTTP, against a small fake state service."""
 
 import asyncio
 from types import SimpleNamespace
@@ -23,7 +23,7 @@
 
 
 class StateService:
-    """Transactions and changes over HTTP; while ``unavailable`` it answers 503 to everything."""
+    """Serves transactions and changes over HTTP; answers 503 to all requests while ``unavailable``."""
 
     def __init__(self):
         self.ledger = Ledger()
@@ -35,13 +35,15 @@
         if request.path == wire.TRANSACTION_PATH:
             body = msgspec.json.decode(request.body)
             puts = {op["put"]: op["value"] for op in body["then"] if "put" in op}
-            outcome = self.ledger.txn({c["path"]: c["stamp"] for c in body["when"]}, puts)
+            outcome = self.ledger.txn(
+                {condition["path"]: condition["stamp"] for condition in body["when"]}, puts
+            )
             if isinstance(outcome, int):
                 return 200, msgspec.json.encode({"ledger": outcome}), {}
             return 409, msgspec.json.encode({"failed": outcome, "ledger": self.ledger.revision}), {}
         after = int(request.arguments["from"][0])
         changes = [entry for entry in self.ledger.log if entry[0] > after]
-        log = [{"put": key, "value": msgspec.Raw(raw), "stamp": version} for version, key, raw in changes]
+        log = [{"put": key, "value": msgspec.Raw(value), "stamp": version} for version, key, value in changes]
         return 200, msgspec.json.encode({"ledger": self.ledger.revision, "log": log}), {}
 
 
@@ -49,8 +51,8 @@
     state = StateService()
     sockets = [bind_unused_port("127.0.0.1") for _ in range(2)]
     ports = []
-    for sock, port in sockets:
-        sock.close()
+    for socket, port in sockets:
+        socket.close()
         ports.append(port)
     Server(state.handle).listen("127.0.0.1", ports[0])
     client = Client()
@@ -80,56 +82,58 @@
 
     Server(handle).listen("127.0.0.1", ports[1])
 
-    async def ask(method, path, body=None):
-        raw = body if isinstance(body, bytes) or body is None else msgspec.json.encode(body)
-        status, data = await client.fetch(f"127.0.0.1:{ports[1]}", method, path, raw)
+    async def send_request(method, path, body=None):
+        data_to_send = body if isinstance(body, bytes) or body is None else msgspec.json.encode(body)
+        status, data = await client.fetch(f"127.0.0.1:{ports[1]}", method, path, data_to_send)
         return status, msgspec.json.decode(data)
 
-    await steps(ask, state, job_api)
+    await steps(send_request, state, job_api)
 
 
 def test_lifecycle_of_a_job_and_bad_input():
-    async def steps(ask, state, job_api):
-        assert await ask("POST", wire.JOBS_PATH, JOB) == (201, {"ref": "req-000412", "stage": "queued"})
-        assert (await ask("POST", wire.JOBS_PATH, JOB))[0] == 200
-        assert (await ask("POST", wire.JOBS_PATH, {"ref": "req-000412"}))[
-            0
-        ] == 200  # known: not checked again
-        assert (await ask("GET", f"{wire.JOBS_PATH}/req-000412"))[1]["stage"] == "queued"
-        assert (await ask("GET", f"{wire.JOBS_PATH}/req-7"))[0] == 404
-        assert (await ask("POST", f"{wire.JOBS_PATH}/req-7/abort"))[0] == 404
-        assert (await ask("POST", wire.JOBS_PATH, b"{"))[0] == 400
-        assert (await ask("POST", wire.JOBS_PATH, b"[" + b" " * 70_000 + b"]"))[0] == 413
-        assert (await ask("GET", wire.JOBS_PATH))[0] == 405
-        for wrong in ({"holder": "nobody"}, {"vcpus": 97.0}, {"shape": "gang", "parcels": 16}):
-            assert (await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-9", **wrong}))[0] == 422
+    async def steps(send_request, state, job_api):
+        assert await send_request("POST", wire.JOBS_PATH, JOB) == (
+            201,
+            {"ref": "req-000412", "stage": "queued"},
+        )
+        assert (await send_request("POST", wire.JOBS_PATH, JOB))[0] == 200
+        # A known job is not validated again.
+        assert (await send_request("POST", wire.JOBS_PATH, {"ref": "req-000412"}))[0] == 200
+        assert (await send_request("GET", f"{wire.JOBS_PATH}/req-000412"))[1]["stage"] == "queued"
+        assert (await send_request("GET", f"{wire.JOBS_PATH}/req-7"))[0] == 404
+        assert (await send_request("POST", f"{wire.JOBS_PATH}/req-7/abort"))[0] == 404
+        assert (await send_request("POST", wire.JOBS_PATH, b"{"))[0] == 400
+        assert (await send_request("POST", wire.JOBS_PATH, b"[" + b" " * 70_000 + b"]"))[0] == 413
+        assert (await send_request("GET", wire.JOBS_PATH))[0] == 405
+        for invalid in ({"holder": "nobody"}, {"vcpus": 97.0}, {"shape": "gang", "parcels": 16}):
+            assert (await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-9", **invalid}))[0] == 422
         for _ in range(2):
-            status, body = await ask("POST", f"{wire.JOBS_PATH}/req-000412/abort")
+            status, body = await send_request("POST", f"{wire.JOBS_PATH}/req-000412/abort")
             assert (status, body["stage"]) == (200, "withdrawn")
         assert state.ledger.revision == 2
 
     asyncio.run(scenario(steps))
 
 
-def test_job_that_no_value_can_hold_is_refused_at_once():
-    async def steps(ask, state, job_api):
+def test_job_too_large_for_a_value_is_rejected_immediately():
+    async def steps(send_request, state, job_api):
         for count, status in ((5, 201), (10, 400), (5, 200)):
             types = ["big", *(f"{n:0200}" for n in range(count))]
             job = {**JOB, "breeds": types, "ref": f"req-{count}"}
-            assert (await ask("POST", wire.JOBS_PATH, job))[0] == status
+            assert (await send_request("POST", wire.JOBS_PATH, job))[0] == status
         assert state.ledger.revision == 1 and "req-10" not in job_api.replica.jobs
 
     asyncio.run(scenario(steps))
 
 
-def test_single_task_of_a_team_without_limit_is_routed_when_it_is_accepted():
-    async def steps(ask, state, job_api):
+def test_single_task_job_of_a_team_without_quota_is_routed_on_acceptance():
+    async def steps(send_request, state, job_api):
         job_api.teams["free"] = Team("free")
-        await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-1", "holder": "free", "parcels": 1})
-        await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-2", "holder": "free"})
-        await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-3", "parcels": 1})
+        await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-1", "holder": "free", "parcels": 1})
+        await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-2", "holder": "free"})
+        await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-3", "parcels": 1})
         jobs = job_api.replica.jobs
-        assert {ref: dict.fromkeys(j.routes, j.routed_tasks) for ref, j in jobs.items()} == {
+        assert {job_id: dict.fromkeys(job.routes, job.routed_tasks) for job_id, job in jobs.items()} == {
             "req-1": {2: 1},
             "req-2": {},
             "req-3": {},
@@ -140,51 +144,51 @@
     asyncio.run(scenario(steps))
 
 
-def test_while_the_state_service_is_unavailable_users_are_told_when_to_come_back():
-    async def steps(ask, state, job_api):
-        await ask("POST", wire.JOBS_PATH, JOB)
+def test_users_get_retry_after_while_the_state_service_is_unavailable():
+    async def steps(send_request, state, job_api):
+        await send_request("POST", wire.JOBS_PATH, JOB)
         state.unavailable = True
         status, _, headers = await job_api.submit(msgspec.json.encode({**JOB, "ref": "req-8"}))
         assert status == 503 and headers["Retry-After"] == "1"
-        assert (await ask("GET", f"{wire.JOBS_PATH}/req-000412"))[0] == 503
+        assert (await send_request("GET", f"{wire.JOBS_PATH}/req-000412"))[0] == 503
         state.unavailable = False
-        assert (await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-8"}))[0] == 201
+        assert (await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-8"}))[0] == 201
 
     asyncio.run(scenario(steps))
 
 
-def test_node_that_has_just_started_rejects_no_id_for_its_other_fields():
-    # Another node may have accepted it, and a repeat of an accepted job never gets 400 or 422.
-    async def steps(ask, state, job_api):
-        wrong = {**JOB, "vcpus": 97.0}, {"ref": "req-000412"}, {**JOB, "parcels": 0}
+def test_node_that_is_not_ready_does_not_reject_invalid_submissions():
+    # Another node may have accepted the job, and repeating an accepted job must never get 400 or 422.
+    async def steps(send_request, state, job_api):
+        invalid = {**JOB, "vcpus": 97.0}, {"ref": "req-000412"}, {**JOB, "parcels": 0}
         job_api.ready = False
-        for body in (JOB, *wrong):
-            assert (await ask("POST", wire.JOBS_PATH, body))[0] == 503
+        for body in (JOB, *invalid):
+            assert (await send_request("POST", wire.JOBS_PATH, body))[0] == 503
         job_api.ready = True
-        assert [(await ask("POST", wire.JOBS_PATH, body))[0] for body in wrong] == [422, 400, 400]
-        await ask("POST", wire.JOBS_PATH, JOB)
-        assert [(await ask("POST", wire.JOBS_PATH, body))[0] for body in wrong] == [200, 200, 200]
+        assert [(await send_request("POST", wire.JOBS_PATH, body))[0] for body in invalid] == [422, 400, 400]
+        await send_request("POST", wire.JOBS_PATH, JOB)
+        assert [(await send_request("POST", wire.JOBS_PATH, body))[0] for body in invalid] == [200, 200, 200]
 
     asyncio.run(scenario(steps))
 
 
 @pytest.mark.parametrize("fault", ["apply", "clock", "commit"])
-def test_submissions_whose_commit_dies_of_a_fault_are_answered_and_later_ones_accepted(fault):
-    # Before, their requests waited for ever: nobody resolved what they waited for.
-    async def steps(ask, state, job_api):
+def test_submissions_are_answered_if_their_commit_raises_and_later_ones_are_accepted(fault):
+    # Seen: such requests were never answered, because their futures were never resolved.
+    async def steps(send_request, state, job_api):
         submissions = job_api._submissions
         attribute = {"apply": "_apply", "clock": "_wall_us", "commit": "_kv"}[fault]
-        sound = getattr(submissions, attribute)
+        original = getattr(submissions, attribute)
 
-        def broken(*args, **more):
+        def failing(*args, **options):
             raise ZeroDivisionError("a fault in the program")
 
-        setattr(submissions, attribute, SimpleNamespace(commit=broken) if fault == "commit" else broken)
+        setattr(submissions, attribute, SimpleNamespace(commit=failing) if fault == "commit" else failing)
         jobs = [{**JOB, "ref": f"req-{n}"} for n in range(30)]
-        asked = asyncio.gather(*(job_api.submit(msgspec.json.encode(job)) for job in jobs))
-        answers = await asyncio.wait_for(asked, 5.0)
+        requests = asyncio.gather(*(job_api.submit(msgspec.json.encode(job)) for job in jobs))
+        answers = await asyncio.wait_for(requests, 5.0)
         assert {(status, headers.get("Retry-After")) for status, _, headers in answers} == {(503, "1")}
-        setattr(submissions, attribute, sound)
-        assert (await ask("POST", wire.JOBS_PATH, {**JOB, "ref": "req-99"}))[0] == 201
+        setattr(submissions, attribute, original)
+        assert (await send_request("POST", wire.JOBS_PATH, {**JOB, "ref": "req-99"}))[0] == 201
 
     asyncio.run(scenario(steps))
