--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -1,5 +1,6 @@
-"""The limits of the state service on a transaction: every writer keeps to them, and what is malformed all the
-same is never sent again as it is, and stops nothing else.
+"""The limits of a transaction: all writers keep to them.
+
+A malformed transaction is never sent again unchanged, and does not delay other writes.
 """
 
 import asyncio
@@ -43,72 +44,74 @@
 MACHINES = 200
 TEAM = Team("t")
 JOB = {**GOOD, "shape": "batch", "parcels": 1, "breeds": None, "holder": "t", "memoryGb": 8.0}
-# Without an end, as the code was before, a test fails after so long.
-PATIENCE_S = 5.0
+# Ends a test whose writer retries without end, as the code once did.
+TIMEOUT_S = 5.0
+
 
+class RecordingStateService(StateService):
+    """The emulated state service as an HTTP client, which records transactions.
 
-class Service(StateService):
-    """The stand-in's state service as a client of the links sees it. ``forbidden``: a key of which every
-    transaction is answered with 400.
+    Transactions that write ``rejected_key`` are answered with 400.
     """
 
     def __init__(self, txn_ops, value_kb):
         super().__init__(None, 1e9, 1e9, value_kb, txn_ops)
-        self.txns, self.malformed = [], []
-        self.forbidden = None
+        self.transactions, self.malformed = [], []
+        self.rejected_key = None
 
     async def fetch(self, addr, method, path, body, timeout_s):
         request = SimpleNamespace(method=method, path=path, arguments={}, body=body)
         if path != "/txn":
             return (await self.handle(request))[:2]
-        self.txns.append(wire.decode_transaction(body))
-        touched = {op.put or op.delete for op in self.txns[-1].ops}
+        self.transactions.append(wire.decode_transaction(body))
+        written_keys = {op.put or op.delete for op in self.transactions[-1].ops}
         status, data = 400, b'{"error":"malformed"}'
-        if self.forbidden not in touched:
+        if self.rejected_key not in written_keys:
             status, data, _ = await self.handle(request)
         if status == 400:
             self.malformed.append(body)
         return status, data
 
     def store(self):
-        budgets = RateLimiter(1e9, 1e9, now_us), RateLimiter(1e9, 1e9, now_us)
-        return KeyValueStore(self, "state:1", *budgets, now_us)
+        rate_limiters = RateLimiter(1e9, 1e9, now_us), RateLimiter(1e9, 1e9, now_us)
+        return KeyValueStore(self, "state:1", *rate_limiters, now_us)
 
     def puts_of(self, key):
-        return sum(op.put == key for txn in self.txns for op in txn.ops)
+        return sum(op.put == key for txn in self.transactions for op in txn.ops)
 
 
-class ServiceLedger(Ledger):
-    """The service's keys as the world's ledger."""
+class StoreLedger(Ledger):
+    """The store of the state service in place of the ledger of ``World``."""
 
-    def __init__(self, keys):
-        self.held = keys
+    def __init__(self, store):
+        self.store = store
 
     @property
     def revision(self):
-        return self.held.revision
+        return self.store.revision
 
     @property
     def log(self):
-        return self.held.change_log
+        return self.store.change_log
 
     def txn(self, conditions, puts, deletes=None):
         body = encode_transaction(conditions, {k: (v, None) for k, v in puts.items()}, deletes or [])
-        return self.held.apply_transaction(wire.decode_transaction(body))
+        return self.store.apply_transaction(wire.decode_transaction(body))
 
 
-class Site(World):
-    """A part whose group commits go to the service, through the links. ``served``: the service's own limit,
-    if it is another than the one in the settings.
+class SiteWithService(World):
+    """A shard whose group commits go to the service over a key-value client.
+
+    ``served`` is the service's own limit of changes, if it differs from the one in the settings.
     """
 
     def __init__(self, txn_ops, value_kb, served=None):
-        self.service = Service(served or txn_ops, value_kb)
-        super().__init__(ServiceLedger(self.service.keys), txn_ops=txn_ops, value_bytes=value_kb * 1024)
+        self.service = RecordingStateService(served or txn_ops, value_kb)
+        super().__init__(StoreLedger(self.service.keys), txn_ops=txn_ops, value_bytes=value_kb * 1024)
         self.now = now_us()
         self.take_over()
-        self.sent = ShardActions()
-        self.owning = ShardLoop(
+        self.sent_commands = ShardActions()
+        self.shard_loop = ShardLoop(
             Leading(),
             {0: self.owner},
             self.service.store(),
@@ -121,9 +124,9 @@
             lambda key: None,
         )
 
-    # What the owner's node does: follows changes, and tells workers.
+    # Replaces the controller of the owner: follows changes, and sends commands to agents.
 
-    def apply_own_commit(self, key, stamp, value):
+    def apply_own_commit(self, key, version, value):
         self.catch_up()
 
     async def read_barrier(self):
@@ -131,37 +134,37 @@
         return True
 
     def send_commands(self, owner, actions):
-        for machine, orders in actions.commands.items():
-            for order in orders:
-                self.sent.send(machine, order)
+        for machine, commands in actions.commands.items():
+            for command in commands:
+                self.sent_commands.send(machine, command)
 
     def write(self):
-        """Group commits until nothing waits; what may be sent then."""
-        self.sent = ShardActions()
-        asyncio.run(asyncio.wait_for(self.owning._commit(self.owner), PATIENCE_S))
-        return self.starts(self.sent)
+        """Commit until no write is pending; return the starts that may be sent then."""
+        self.sent_commands = ShardActions()
+        asyncio.run(asyncio.wait_for(self.shard_loop._commit(self.owner), TIMEOUT_S))
+        return self.starts(self.sent_commands)
 
     def run(self):
         self.step()
         return self.write()
 
-    def machines(self, count):
+    def add_machines(self, count):
         for n in range(count):
             self.machine(f"i-{n:06d}")
 
-    def placing(self):
+    def placing_attempts(self):
         return [
-            a
-            for rec in self.owner.drafts.values()
-            for a in rec.attempts.values()
-            if a.state == AttemptState.PLACING
+            attempt
+            for draft in self.owner.drafts.values()
+            for attempt in draft.attempts.values()
+            if attempt.state == AttemptState.PLACING
         ]
 
 
-def keeps(site, txn_ops, value_kb):
-    """Nothing that was sent is over the limits."""
+def check_limits(site, txn_ops, value_kb):
+    """Assert that no transaction that was sent exceeds the limits; return True."""
     assert not site.service.malformed
-    for txn in site.service.txns:
+    for txn in site.service.transactions:
         assert len(txn.ops) <= txn_ops and len(txn.conditions) <= 4 * txn_ops
         assert all(len(bytes(op.value)) <= value_kb * 1024 for op in txn.ops)
     return True
@@ -169,45 +172,45 @@
 
 @pytest.mark.parametrize("txn_ops", [12, 4])
 @pytest.mark.parametrize("value_kb", [16, 2])
-def test_array_that_finds_two_hundred_machines_at_once_is_placed_in_parts(txn_ops, value_kb):
-    site = Site(txn_ops, value_kb)
-    site.machines(MACHINES)
+def test_array_larger_than_a_transaction_is_placed_in_several_commits(txn_ops, value_kb):
+    site = SiteWithService(txn_ops, value_kb)
+    site.add_machines(MACHINES)
     site.submit(spec("req-1", tasks=MACHINES, cpus=32.0))
-    room = min(max((value_kb * 1024 - 6 * 1024) // 50, 16), MACHINES)  # what a value has room for
-    done = 0
-    while done < MACHINES:
-        site.service.txns.clear()
+    max_placements = min(max((value_kb * 1024 - 6 * 1024) // 50, 16), MACHINES)  # that fit a value
+    finished = 0
+    while finished < MACHINES:
+        site.service.transactions.clear()
         starts = site.run()
-        assert len(starts) == min(room, MACHINES - done) and not site.placing()
-        there = site.view.jobs["req-1"].placements[0, 0].record.placements
-        assert {f"req-1/{task}" for task in there} == {name for _, name, _ in starts}
-        # Besides those of a machine: the part, its fence, the job, its route and its placements.
-        most = 4 * txn_ops - 5
-        assert site.service.puts_of("p/0/req-1/0") <= -(-len(starts) // most)
+        assert len(starts) == min(max_placements, MACHINES - finished) and not site.placing_attempts()
+        placed = site.view.jobs["req-1"].placements[0, 0].record.placements
+        assert {f"req-1/{task}" for task in placed} == {name for _, name, _ in starts}
+        # Five other conditions: on the shard, its fence, the job, its route and its placements.
+        max_starts = 4 * txn_ops - 5
+        assert site.service.puts_of("p/0/req-1/0") <= -(-len(starts) // max_starts)
         for machine, name, attempt in starts:
             site.report(machine, (name, attempt, "exited", "done"))
-        done += len(starts)
+        finished += len(starts)
     site.run()
-    assert site.view.jobs["req-1"].state == "done" and keeps(site, txn_ops, value_kb)
+    assert site.view.jobs["req-1"].state == "done" and check_limits(site, txn_ops, value_kb)
 
 
-def test_other_jobs_of_a_part_go_on_while_a_record_is_malformed():
-    # The service takes less than the settings say: what is too large shows in its answers alone.
-    site = Site(12, 16, served=4)
-    site.machines(MACHINES)
+def test_other_jobs_of_a_shard_are_placed_while_a_transaction_is_malformed():
+    # The limit of the service is below that in the settings, so only its answers show what is too large.
+    site = SiteWithService(12, 16, served=4)
+    site.add_machines(MACHINES)
     for n in range(2, 12):
         site.submit(spec(f"req-{n}", tasks=1, cpus=32.0))
     site.submit(spec("req-1", tasks=MACHINES - 10, cpus=32.0))
     starts = site.run()
-    assert len(starts) == MACHINES and not site.placing()
+    assert len(starts) == MACHINES and not site.placing_attempts()
     service = site.service
     assert 0 < len(service.malformed) <= 12 and len(set(service.malformed)) == len(service.malformed)
 
 
-def test_what_is_never_taken_is_given_up_and_nothing_else():
-    site = Site(12, 16)
-    site.machines(20)
-    site.service.forbidden = "p/0/req-1/0"
+def test_only_the_record_that_is_always_rejected_is_given_up():
+    site = SiteWithService(12, 16)
+    site.add_machines(20)
+    site.service.rejected_key = "p/0/req-1/0"
     for n in range(1, 11):
         site.submit(spec(f"req-{n}", tasks=1, cpus=32.0))
     assert {name for _, name, _ in site.run()} == {f"req-{n}/0" for n in range(2, 11)}
@@ -220,10 +223,10 @@
 
 
 @pytest.mark.parametrize("key", ["m/0/i-000003", "d/i-000003"])
-def test_a_machine_whose_record_is_never_taken_keeps_no_other_back(key):
-    site = Site(12, 16)
-    site.machines(3)
-    site.service.forbidden = key
+def test_rejected_record_of_a_machine_does_not_delay_other_machines(key):
+    site = SiteWithService(12, 16)
+    site.add_machines(3)
+    site.service.rejected_key = key
     for n in range(3, 9):
         site.report(f"i-{n:06d}")
         site.owner.request_drain(f"i-{n:06d}", "sick", site.now)
@@ -240,9 +243,9 @@
 
 
 @pytest.mark.parametrize("txn_ops", [12, 4])
-def test_gang_wider_than_a_transaction_starts_when_all_of_it_is_placed(txn_ops):
-    site = Site(txn_ops, 16)
-    site.machines(60)
+def test_gang_larger_than_a_transaction_starts_once_all_tasks_are_placed(txn_ops):
+    site = SiteWithService(txn_ops, 16)
+    site.add_machines(60)
     site.submit(spec("req-1", kind="gang", tasks=60, cpus=32.0))
     site.step()
     placed = 0
@@ -256,38 +259,44 @@
         starts = site.starts(actions)
         assert len(starts) == (60 if placed == 60 else 0)
         if placed < 60:
-            assert not [o for n in range(60) for o in site.report(f"i-{n:06d}") if o[0] == "start"]
+            assert not [
+                command for n in range(60) for command in site.report(f"i-{n:06d}") if command[0] == "start"
+            ]
     assert placed == 60 and len({attempt for _, _, attempt in starts}) == 1
 
 
-def test_gang_of_which_a_part_stands_is_taken_back_whole_when_the_rest_is_refused():
-    site = Site(4, 16)
-    site.machines(20)
+def test_partly_placed_gang_is_rolled_back_when_the_rest_is_rejected():
+    site = SiteWithService(4, 16)
+    site.add_machines(20)
     site.submit(spec("req-1", kind="gang", tasks=16, cpus=32.0))
     site.step()
-    first = site.owner.gather_commit(site.now, site.now)
+    first_batch = site.owner.gather_commit(site.now, site.now)
     site.owner.on_committed(
-        first,
-        site.ledger.txn(first.preconditions, {k: v for k, (v, _) in first.puts.items()}),
+        first_batch,
+        site.ledger.txn(first_batch.preconditions, {k: v for k, (v, _) in first_batch.puts.items()}),
         ShardActions(),
     )
     site.catch_up()
-    (left, *_) = site.placing()
-    site.put(f"d/{left.machine}", DrainRecord("idle", 1))
-    assert not site.write() and not site.placing()
-    stood = {a.machine for a in first.placed_attempts}
-    told = site.step().commands
-    assert {m for m, orders in told.items() if [op for op, *_ in orders] == ["stop"]} == stood
-    for machine in stood:
-        assert not site.report(machine)  # it has never heard of its task
+    (unplaced, *_) = site.placing_attempts()
+    site.put(f"d/{unplaced.machine}", DrainRecord("idle", 1))
+    assert not site.write() and not site.placing_attempts()
+    started_machines = {attempt.machine for attempt in first_batch.placed_attempts}
+    stop_commands = site.step().commands
+    assert {
+        machine
+        for machine, commands in stop_commands.items()
+        if [operation for operation, *_ in commands] == ["stop"]
+    } == started_machines
+    for machine in started_machines:
+        assert not site.report(machine)  # it never received its task
     starts = site.run()
     assert len(starts) == 16 and {attempt for *_, attempt in starts} == {2}
-    assert left.machine not in {machine for machine, *_ in starts}
+    assert unplaced.machine not in {machine for machine, *_ in starts}
 
 
-def test_gang_wider_than_a_value_is_not_placed_and_keeps_nothing_back():
-    site = Site(12, 2)
-    site.machines(80)
+def test_gang_too_large_for_a_value_is_not_placed_and_does_not_delay_other_jobs():
+    site = SiteWithService(12, 2)
+    site.add_machines(80)
     site.submit(spec("req-1", kind="gang", tasks=70, cpus=32.0))
     site.submit(spec("req-2", tasks=10, cpus=32.0))
     for _ in range(10):
@@ -295,54 +304,57 @@
         site.step()
         site.later(1)
     assert set(site.view.jobs["req-2"].placements[0, 0].record.placements) == set(range(10))
-    assert not site.view.jobs["req-1"].placed_tasks and not site.placing()
-    # It is tried once a minute; its record may be written, without placements.
-    assert site.service.puts_of("p/0/req-1/0") <= 1 and keeps(site, 12, 2)
+    assert not site.view.jobs["req-1"].placed_tasks and not site.placing_attempts()
+    # The gang is tried once a minute; its record may be written without placements.
+    assert site.service.puts_of("p/0/req-1/0") <= 1 and check_limits(site, 12, 2)
 
 
-def test_a_machines_record_keeps_to_a_value_however_many_images_it_holds():
-    site = Site(12, 2)
-    site.machines(1)
-    m = site.owner.machines["i-000000"]
-    m.images.update((f"registry/image-{n:04d}", 0.01) for n in range(200))
-    site.owner.heartbeats.record_machine(m)
+def test_machine_record_with_many_images_fits_a_value():
+    site = SiteWithService(12, 2)
+    site.add_machines(1)
+    machine_state = site.owner.machines["i-000000"]
+    machine_state.images.update((f"registry/image-{n:04d}", 0.01) for n in range(200))
+    site.owner.heartbeats.record_machine(machine_state)
     site.write()
     images = site.view.machines["i-000000"][1].images
-    assert 50 < len(images) < 200 and "registry/image-0199" in images and keeps(site, 12, 2)
+    assert 50 < len(images) < 200 and "registry/image-0199" in images and check_limits(site, 12, 2)
 
 
-def test_stand_in_keeps_to_the_limits_of_a_transaction():
-    keys = InMemoryStore(value_bytes=2048, txn_ops=4)
-    sixteen = dict.fromkeys((f"a/{n}" for n in range(16)), 0)
-    four = {f"b/{n}": ("x" * 2000, None) for n in range(4)}
+def test_emulator_enforces_the_limits_of_a_transaction():
+    store = InMemoryStore(value_bytes=2048, txn_ops=4)
+    sixteen_conditions = dict.fromkeys((f"a/{n}" for n in range(16)), 0)
+    four_puts = {f"b/{n}": ("x" * 2000, None) for n in range(4)}
     assert isinstance(
-        keys.apply_transaction(wire.decode_transaction(encode_transaction(sixteen, four, []))), int
+        store.apply_transaction(
+            wire.decode_transaction(encode_transaction(sixteen_conditions, four_puts, []))
+        ),
+        int,
     )
     for conditions, puts in (
-        ({**sixteen, "a/16": 0}, four),
-        (sixteen, {**four, "b/4": ("", None)}),
+        ({**sixteen_conditions, "a/16": 0}, four_puts),
+        (sixteen_conditions, {**four_puts, "b/4": ("", None)}),
         ({}, {"b/0": ("x" * 2047, None)}),
     ):
         with pytest.raises(ValueError):
-            keys.apply_transaction(wire.decode_transaction(encode_transaction(conditions, puts, [])))
+            store.apply_transaction(wire.decode_transaction(encode_transaction(conditions, puts, [])))
 
-    async def body(size):
-        service = Service(64, 64)
-        raw = encode_transaction({}, {"a": ("", None)}, [])
-        return (await service.fetch("", "POST", "/txn", raw + b" " * (size - len(raw)), 1))[0]
+    async def send_body(body_bytes):
+        service = RecordingStateService(64, 64)
+        body = encode_transaction({}, {"a": ("", None)}, [])
+        return (await service.fetch("", "POST", "/txn", body + b" " * (body_bytes - len(body)), 1))[0]
 
-    assert asyncio.run(body(64 * 1024)) == 200 and asyncio.run(body(64 * 1024 + 1)) == 400
+    assert asyncio.run(send_body(64 * 1024)) == 200 and asyncio.run(send_body(64 * 1024 + 1)) == 400
 
 
-class Lead:
-    """A leader whose writes go to the service; ``served`` as in ``Site``."""
+class LeaderWithService:
+    """A leader whose writes go to the service; ``served`` as in ``SiteWithService``."""
 
     def __init__(self, folder, txn_ops, served=None):
         file = folder / "settings.toml"
         text = TOML.replace("txn_ops = 12", f"txn_ops = {txn_ops}").replace("value_kb = 16", "value_kb = 2")
         file.write_text(text)
-        self.service = Service(served or txn_ops, 2)
-        self.ledger, self.view = ServiceLedger(self.service.keys), Replica()
+        self.service = RecordingStateService(served or txn_ops, 2)
+        self.ledger, self.view = StoreLedger(self.service.keys), Replica()
         self.put("leader", LeaseHolderRecord("n0"))
         store = self.service.store()
         self.leadership = Leadership(
@@ -354,8 +366,8 @@
             self.view.version_of("leader"),
             lambda: 0,
             lambda: 0,
-            lambda key, stamp, value: self.catch_up(),
-            self.fresh,
+            lambda key, version, value: self.catch_up(),
+            self.read_barrier,
         )
 
     def put(self, key, value):
@@ -365,7 +377,7 @@
     def catch_up(self):
         self.ledger.feed(self.view)
 
-    async def fresh(self):
+    async def read_barrier(self):
         self.catch_up()
         return True
 
@@ -376,180 +388,189 @@
         return RoutePlan(self.view.jobs[job.job_id])
 
     def write(self, *plans):
-        asyncio.run(asyncio.wait_for(self.leadership.route_writer.write_plans(list(plans)), PATIENCE_S))
+        asyncio.run(asyncio.wait_for(self.leadership.route_writer.write_plans(list(plans)), TIMEOUT_S))
 
-    def routed(self, ref):
-        return {part: route.tasks for part, route in self.view.jobs[ref].routes.items()}
+    def routed(self, job_id):
+        return {part: route.tasks for part, route in self.view.jobs[job_id].routes.items()}
 
-    def whole(self, ref):
-        """No task is routed twice, now or after any transaction before."""
+    def check_routes(self, job_id):
+        """Assert that no task was routed twice after any transaction; return True."""
         routes = {}
-        for txn in self.service.txns:
+        for txn in self.service.transactions:
             for op in txn.ops:
                 _, part, job = op.put.split("/")
-                if job == ref:
-                    rec = msgspec.json.decode(bytes(op.value), type=RouteRecord)
-                    routes[part] = parse_task_ranges(rec.tasks)
+                if job == job_id:
+                    route = msgspec.json.decode(bytes(op.value), type=RouteRecord)
+                    routes[part] = parse_task_ranges(route.tasks)
             masks = [mask for mask in routes.values() if mask]
             assert sum(mask.bit_count() for mask in masks) == sum(masks).bit_count()
         return True
 
 
-def spread(plan, parts, tasks):
-    """All tasks leave part 0, but for the first share, and go to the others."""
+def spread_tasks(plan, parts, tasks):
+    """Move all tasks but the first share from shard 0 to the other shards."""
     share = tasks // parts
-    masks = [((1 << share) - 1) << (part * share) for part in range(parts)]
-    plan.remove(0, sum(masks[1:]))
-    for part, mask in enumerate(masks[1:], 1):
+    tasks_by_shard = [((1 << share) - 1) << (part * share) for part in range(parts)]
+    plan.remove(0, sum(tasks_by_shard[1:]))
+    for part, mask in enumerate(tasks_by_shard[1:], 1):
         plan.add(part, None, mask)
-    return masks
+    return tasks_by_shard
 
 
 @pytest.mark.parametrize("txn_ops", [12, 4])
-def test_plan_that_moves_more_than_a_transaction_holds_is_written_by_part(tmp_path, txn_ops):
-    lead = Lead(tmp_path, txn_ops)
-    plan = lead.submit(spec("req-1", tasks=100_000), RouteRecord("0-99999"))
-    masks = spread(plan, 8, 100_000)
+def test_route_plan_larger_than_a_transaction_is_written_by_shard(tmp_path, txn_ops):
+    leader = LeaderWithService(tmp_path, txn_ops)
+    plan = leader.submit(spec("req-1", tasks=100_000), RouteRecord("0-99999"))
+    tasks_by_shard = spread_tasks(plan, 8, 100_000)
     puts, conditions = plan.writes()
     assert len(puts) == 8 and len(conditions) == 8 + 8 * 7
-    lead.write(plan)
-    assert lead.routed("req-1") == dict(enumerate(masks))
-    assert lead.whole("req-1") and keeps(lead, txn_ops, 2) and len(lead.service.txns) == 8
-
-
-def test_plan_written_by_part_ends_where_something_was_placed_meanwhile(tmp_path):
-    lead = Lead(tmp_path, 4)
-    plan = lead.submit(spec("req-1", tasks=100), RouteRecord("0-99"))
-    masks = spread(plan, 5, 100)
-    lead.put("p/2/req-1/0", PlacementRecord({99: Placement("i-000001", 1, 1, 1)}))
-    lead.write(plan)
-    assert lead.routed("req-1") == {0: masks[0], 1: masks[1]} and lead.whole("req-1")
-    again = Lead(tmp_path, 4)
-    plan = again.submit(spec("req-1", tasks=100), RouteRecord("0-99"))
-    spread(plan, 5, 100)
-    again.put("p/0/req-1/0", PlacementRecord({99: Placement("i-000001", 1, 1, 1)}))
-    again.write(plan)
-    assert again.routed("req-1") == {0: (1 << 100) - 1}
-
-
-def test_parts_that_change_tasks_with_each_other_have_none_twice_in_between(tmp_path):
-    lead = Lead(tmp_path, 4, served=1)
-    plan = lead.submit(spec("req-1", tasks=4), RouteRecord("0-1"))
-    lead.put("r/1/req-1", RouteRecord("2-3"))
-    plan = RoutePlan(lead.view.jobs["req-1"])
+    leader.write(plan)
+    assert leader.routed("req-1") == dict(enumerate(tasks_by_shard))
+    assert (
+        leader.check_routes("req-1")
+        and check_limits(leader, txn_ops, 2)
+        and len(leader.service.transactions) == 8
+    )
+
+
+def test_writing_a_plan_by_shard_stops_at_a_concurrent_placement(tmp_path):
+    leader = LeaderWithService(tmp_path, 4)
+    plan = leader.submit(spec("req-1", tasks=100), RouteRecord("0-99"))
+    tasks_by_shard = spread_tasks(plan, 5, 100)
+    leader.put("p/2/req-1/0", PlacementRecord({99: Placement("i-000001", 1, 1, 1)}))
+    leader.write(plan)
+    assert leader.routed("req-1") == {
+        0: tasks_by_shard[0],
+        1: tasks_by_shard[1],
+    } and leader.check_routes("req-1")
+    other_leader = LeaderWithService(tmp_path, 4)
+    plan = other_leader.submit(spec("req-1", tasks=100), RouteRecord("0-99"))
+    spread_tasks(plan, 5, 100)
+    other_leader.put("p/0/req-1/0", PlacementRecord({99: Placement("i-000001", 1, 1, 1)}))
+    other_leader.write(plan)
+    assert other_leader.routed("req-1") == {0: (1 << 100) - 1}
+
+
+def test_shards_that_swap_tasks_never_both_have_the_same_task(tmp_path):
+    leader = LeaderWithService(tmp_path, 4, served=1)
+    plan = leader.submit(spec("req-1", tasks=4), RouteRecord("0-1"))
+    leader.put("r/1/req-1", RouteRecord("2-3"))
+    plan = RoutePlan(leader.view.jobs["req-1"])
     plan.remove(0, 0b0001)
     plan.remove(1, 0b1000)
     plan.add(0, None, 0b1000)
     plan.add(1, "b", 0b0001)
-    lead.write(plan)
-    assert lead.routed("req-1") == {0: 0b1010, 1: 0b0101} and lead.whole("req-1")
-    assert lead.view.jobs["req-1"].routes[1].zone_tasks == {"b": 0b0001}
+    leader.write(plan)
+    assert leader.routed("req-1") == {0: 0b1010, 1: 0b0101} and leader.check_routes("req-1")
+    assert leader.view.jobs["req-1"].routes[1].zone_tasks == {"b": 0b0001}
 
 
-def test_wide_gang_over_more_parts_than_a_transaction_has_changes(tmp_path):
-    lead = Lead(tmp_path, 4)
-    plan = lead.submit(spec("req-1", kind="gang", tasks=12), RouteRecord("0-11"))
+def test_gang_may_span_more_shards_than_a_transaction_has_changes(tmp_path):
+    leader = LeaderWithService(tmp_path, 4)
+    plan = leader.submit(spec("req-1", kind="gang", tasks=12), RouteRecord("0-11"))
     chosen = [SimpleNamespace(name=f"i-{n:06d}", shard_id=n % 6) for n in range(12)]
     plan.span_shards(chosen, 1, 5)
-    lead.write(plan)
-    routes = lead.view.jobs["req-1"].routes
+    leader.write(plan)
+    routes = leader.view.jobs["req-1"].routes
     assert {part: route.record.machines for part, route in routes.items()} == {
         part: {part: f"i-{part:06d}", part + 6: f"i-{part + 6:06d}"} for part in range(6)
     }
-    assert lead.whole("req-1") and keeps(lead, 4, 2)
+    assert leader.check_routes("req-1") and check_limits(leader, 4, 2)
 
 
-def test_plan_that_is_malformed_keeps_no_other_back(tmp_path):
-    lead = Lead(tmp_path, 12)
-    lead.service.forbidden = "r/1/req-3"
+def test_malformed_plan_does_not_delay_other_plans(tmp_path):
+    leader = LeaderWithService(tmp_path, 12)
+    leader.service.rejected_key = "r/1/req-3"
     plans = []
     for n in range(1, 9):
-        plans.append(lead.submit(spec(f"req-{n}", tasks=1)))
+        plans.append(leader.submit(spec(f"req-{n}", tasks=1)))
         plans[-1].add(1, None, 1)
     for _ in range(3):
-        lead.write(*(plan for plan in plans if not lead.routed(plan.job.spec.job_id)))
-    assert [n for n in range(1, 9) if not lead.routed(f"req-{n}")] == [3]
-    malformed = lead.service.malformed
+        leader.write(*(plan for plan in plans if not leader.routed(plan.job.spec.job_id)))
+    assert [n for n in range(1, 9) if not leader.routed(f"req-{n}")] == [3]
+    malformed = leader.service.malformed
     assert len(malformed) == len(set(malformed)) == 2
 
 
-def test_drain_that_is_malformed_keeps_no_other_back(tmp_path):
-    lead = Lead(tmp_path, 12)
-    lead.service.forbidden = "d/i-5"
+def test_malformed_drain_does_not_delay_other_drains(tmp_path):
+    leader = LeaderWithService(tmp_path, 12)
+    leader.service.rejected_key = "d/i-5"
     for _ in range(3):
-        drains = {f"i-{n}": DrainRecord("idle", 1) for n in range(12) if f"i-{n}" not in lead.view.drains}
-        asyncio.run(lead.leadership.autoscaler_loop.drain(drains))
-    assert set(lead.view.drains) == {f"i-{n}" for n in range(12)} - {"i-5"}
-    malformed = lead.service.malformed
+        drains = {f"i-{n}": DrainRecord("idle", 1) for n in range(12) if f"i-{n}" not in leader.view.drains}
+        asyncio.run(leader.leadership.autoscaler_loop.drain(drains))
+    assert set(leader.view.drains) == {f"i-{n}" for n in range(12)} - {"i-5"}
+    malformed = leader.service.malformed
     assert len(malformed) == len(set(malformed)) <= 5
 
 
-def test_leader_does_not_send_what_is_too_large(tmp_path):
-    lead = Lead(tmp_path, 4)
-    before = len(lead.service.txns)
+def test_leader_does_not_send_transactions_over_the_limits(tmp_path):
+    leader = LeaderWithService(tmp_path, 4)
+    before = len(leader.service.transactions)
     for puts, conditions in (
         ({f"r/{n}/req-1": RouteRecord("0") for n in range(5)}, {}),
         ({"r/0/req-1": RouteRecord("0")}, dict.fromkeys((f"a/{n}" for n in range(15)), 0)),
         ({"r/0/req-1": RouteRecord("0," * 1100)}, {}),
     ):
-        assert asyncio.run(lead.leadership.commit(puts, conditions)) == CommitOutcome.MALFORMED
-    assert len(lead.service.txns) == before
+        assert asyncio.run(leader.leadership.commit(puts, conditions)) == CommitOutcome.MALFORMED
+    assert len(leader.service.transactions) == before
 
 
-def test_rental_requests_are_tidied_at_small_transactions_too(tmp_path):
-    lead = Lead(tmp_path, 2)
+def test_completed_instance_requests_are_deleted_with_small_transactions(tmp_path):
+    leader = LeaderWithService(tmp_path, 2)
     for n in range(2):
-        lead.put(f"h/r-1-{n}", InstanceRequestRecord("small", "a", False, 1, 1, ["i-1"]))
-    asyncio.run(lead.leadership.autoscaler_loop.forget_completed_requests())
-    assert not lead.view.instance_requests and keeps(lead, 2, 2)
+        leader.put(f"h/r-1-{n}", InstanceRequestRecord("small", "a", False, 1, 1, ["i-1"]))
+    asyncio.run(leader.leadership.autoscaler_loop.forget_completed_requests())
+    assert not leader.view.instance_requests and check_limits(leader, 2, 2)
 
 
-def test_node_gives_up_more_parts_than_a_transaction_has_changes():
-    service = Service(4, 2)
-    ledger, view = ServiceLedger(service.keys), Replica()
+def test_node_releases_more_shards_than_a_transaction_has_changes():
+    service = RecordingStateService(4, 2)
+    ledger, view = StoreLedger(service.keys), Replica()
     for key in ["leader", *(f"part/{n}" for n in range(6))]:
         ledger.txn({}, {key: LeaseHolderRecord("n0")})
     ledger.feed(view)
 
-    async def fresh():
+    async def read_barrier():
         ledger.feed(view)
 
-    held = HeldLeases(
+    leases = HeldLeases(
         owners={n: SimpleNamespace(fencing_token=view.shard_holders[n].fencing_token) for n in range(6)},
         leadership=SimpleNamespace(fencing_token=view.leader.fencing_token),
     )
-    follower, reachability = SimpleNamespace(read_barrier=fresh), SimpleNamespace(unreachable=[])
-    asyncio.run(LeaseRelease(held, service.store(), follower, reachability, 4).release_all())
+    follower, reachability = SimpleNamespace(read_barrier=read_barrier), SimpleNamespace(unreachable=[])
+    asyncio.run(LeaseRelease(leases, service.store(), follower, reachability, 4).release_all())
     assert view.leader is None and not any(holder.node for holder in view.shard_holders.values())
-    assert not service.malformed and not held.owners and held.leadership is None
+    assert not service.malformed and not leases.owners and leases.leadership is None
 
 
-def test_submissions_keep_to_a_transaction_and_one_that_is_malformed_keeps_no_other_back():
-    service = Service(12, 16)
+def test_submissions_fit_a_transaction_and_a_malformed_one_does_not_delay_others():
+    service = RecordingStateService(12, 16)
     view = Replica()
 
-    async def fresh():
-        ServiceLedger(service.keys).feed(view)
+    async def read_barrier():
+        StoreLedger(service.keys).feed(view)
         return True
 
-    def applied(key, stamp, value):
-        view.put(key, stamp, msgspec.json.encode(value), 0)
+    def apply_to_replica(key, version, value):
+        view.put(key, version, msgspec.json.encode(value), 0)
 
-    async def submit(first, count, **more):
+    async def submit(first_number, count, **options):
         limits = TransactionLimits(operations=12, conditions=48, value_bytes=16 * 1024)
-        users = JobApi(service.store(), view, {"t": TEAM}, fresh, applied, lambda: 1, 1, limits)
-        users.machine_types, users.ready = TYPES, True
-        jobs = [{**JOB, "ref": f"req-{first + n}", **more} for n in range(count)]
+        job_api = JobApi(
+            service.store(), view, {"t": TEAM}, read_barrier, apply_to_replica, lambda: 1, 1, limits
+        )
+        job_api.machine_types, job_api.ready = TYPES, True
+        jobs = [{**JOB, "ref": f"req-{first_number + n}", **options} for n in range(count)]
         return [
             answer[0]
-            for answer in await asyncio.gather(*(users.submit(msgspec.json.encode(job)) for job in jobs))
+            for answer in await asyncio.gather(*(job_api.submit(msgspec.json.encode(job)) for job in jobs))
         ]
 
-    service.forbidden = "j/req-3"
+    service.rejected_key = "j/req-3"
     assert asyncio.run(submit(0, 8)) == [503 if n == 3 else 201 for n in range(8)]
     assert len(service.malformed) == len(set(service.malformed)) == 2
-    service.forbidden, service.malformed = None, []
-    # Twelve of them are over 64 KiB.
+    service.rejected_key, service.malformed = None, []
+    # Twelve of these jobs are over 64 KiB.
     types = ["big", *(f"{n:0200}" for n in range(40))]
     assert set(asyncio.run(submit(8, 24, breeds=types))) == {201} and not service.malformed
-    assert max(len(txn.ops) for txn in service.txns) <= 8
+    assert max(len(txn.ops) for txn in service.transactions) <= 8
