--- a/measurements/simulation/platform.py
+++ b/measurements/simulation/platform.py
@@ -11,7 +11,7 @@
 from measurements.simulation.clock import Life, VirtualLoop
 from measurements.simulation.net import Request
 from pearstep.domain.machine_type import MachineType
-from pearstep.emulator.state_service import TICK_S, StateService
+from pearstep.emulator.state_service import EXPIRY_INTERVAL_S, StateService
 from pearstep.protocol import emulator_messages as wire
 from pearstep.transport.http import Answer
 from pearstep.transport.rate_limiter import RateLimiter
@@ -51,14 +51,14 @@
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             before = self.keys.revision
-            if not self.away and self.keys.expire(self.life.now_us()):
-                super()._keep(before)
+            if not self.away and self.keys.expire_leases(self.life.now_us()):
+                super()._persist_changes(before)
 
-    def _keep(self, before: int) -> None:
-        super()._keep(before)
-        for _, key, value in self.keys.changes("", before) or ():
+    def _persist_changes(self, before: int) -> None:
+        super()._persist_changes(before)
+        for _, key, value in self.keys.changes_after("", before) or ():
             for step in self.steps:
                 step(key, value)
 
@@ -67,7 +67,7 @@
         self.away += 1 if away else -1
         if not self.away:
             for lease in list(self.keys.leases):
-                self.keys.renew(lease, self.life.now_us())
+                self.keys.renew_lease(lease, self.life.now_us())
 
     def door(self, host: str) -> Callable[[Request], Awaitable[Answer]]:
         """Requests of one host."""
@@ -100,7 +100,7 @@
                 await asyncio.sleep(self.rng.uniform(0.0, SLOW_S))
             while request.path == "/changes" and refused():
                 # A watch stays open during an outage, and while its node alone is refused.
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(EXPIRY_INTERVAL_S)
             return found
 
         return answer
@@ -196,9 +196,9 @@
         if request.path == "/flavors":
             return (
                 200,
-                wire.offers(
+                wire.encode_machine_types(
                     [
-                        wire.offer(
+                        wire.build_machine_type(
                             t.name, t.cpus, t.gpus, t.memory_gb, t.boot_us / 1e6, t.price, list(t.zones)
                         )
                         for t in self.types.values()
@@ -207,15 +207,15 @@
                 {},
             )
         if request.path == "/hosts/delete":
-            for name in wire.read_delete(request.body).machines:
+            for name in wire.decode_deletion_request(request.body).machines:
                 self.take(name)
             return 200, b"{}", {}
         if request.method == "GET":
             at_s, rows = self.shown[0]
             after = asked(request).get("from", "")
             rows = [r for r in rows if r[0] > after][:500]
-            return 200, wire.listed([(*r[:6], at_s - r[6]) for r in rows], False), {}
-        wish = wire.read_hire(request.body)
+            return 200, wire.encode_machine_page([(*r[:6], at_s - r[6]) for r in rows], False), {}
+        wish = wire.decode_instance_request(request.body)
         if wish.name not in self.hires:
             room = self.capacity - len(self.machines)
             if room <= 0:
@@ -223,4 +223,4 @@
             self.hires[wish.name] = [
                 self.rent(wish.type, wish.zone, wish.spot) for _ in range(min(room, wish.count))
             ]
-        return 200, wire.hired(self.hires[wish.name]), {}
+        return 200, wire.encode_instance_names(self.hires[wish.name]), {}
