--- a/tests/test_shipping.py
+++ b/tests/test_shipping.py
@@ -24,12 +24,18 @@
     return spool
 
 
+async def wait_until_idle(shipping):
+    # Waits for the tasks instead of polling with `sleep(0)`: a spinning event loop competes for the interpreter
+    # lock with the threads that read and write files. Seen beside a process that writes to the disk: 60 s.
+    while shipping._busy:
+        await asyncio.wait(shipping._tasks._running)
+
+
 async def ship(shipping):
     """Until nothing is left; every pass goes as far as it can at once."""
     while shipping.spools:
         await shipping.step()
-        while shipping._busy:
-            await asyncio.sleep(0)
+        await wait_until_idle(shipping)
         for spool in shipping.spools:
             spool.not_before_us = 0
 
@@ -125,8 +131,7 @@
         before = Shipping(site.client, 64 * 1024, 1 << 30, 10**9, lambda s: None)
         before.add(old, folder)
         await before.step()
-        while before._busy:
-            await asyncio.sleep(0)
+        await wait_until_idle(before)
         place.close()
         # The agent is gone; its task wrote a little more.
         with open(folder / "stdout", "ab") as out:
