--- a/tests/test_shipping.py
+++ b/tests/test_shipping.py
@@ -25,8 +25,8 @@
 
 
 async def wait_until_idle(shipping):
-    # Waits for the tasks instead of polling with `sleep(0)`: a spinning event loop competes for the interpreter
-    # lock with the threads that read and write files. Seen beside a process that writes to the disk: 60 s.
+    # Waits for the tasks instead of polling with `sleep(0)`: a spinning event loop takes the interpreter lock
+    # from the threads that read and write files. Seen beside a process that writes to the disk: 60 s.
     while shipping._busy:
         await asyncio.wait(shipping._tasks._running)
 
