--- a/measurements/federation_overflow.py
+++ b/measurements/federation_overflow.py
@@ -22,9 +22,16 @@
 import numpy as np
 
 from measurements.harness import say
-from pearstep.federation import handoff as ho
-from pearstep.federation.handoff import GuestLoan, HomeLoan
-from pearstep.federation.overflow import Grant, Policy, Room, Waiting, choose, offered
+from pearstep.federation import handoff
+from pearstep.federation.handoff import OriginOffload, RemoteOffload
+from pearstep.federation.offload_selection import (
+    Grant,
+    PeerCapacity,
+    Policy,
+    WaitingJob,
+    capacity_to_offer,
+    choose_offers,
+)
 
 S = 1_000_000
 SLOTS = 100
@@ -47,8 +54,8 @@
         self.guest_runs: dict[int, int] = {}  # job -> epoch of its run
         self.own_queue: deque[tuple[int, int]] = deque()
         self.own_runs = 0
-        self.jobs: dict[int, HomeLoan] = {}
-        self.loans: dict[int, GuestLoan] = {}
+        self.jobs: dict[int, OriginOffload] = {}
+        self.loans: dict[int, RemoteOffload] = {}
         self.left: dict[int, int] = {}
         self.finished: dict[int, int] = {}
         self.own_waits: list[int] = []
@@ -58,7 +65,7 @@
         self.epoch = 0
         self.own_left = int(own_load * SLOTS * 20)
         for i in range(3 * SLOTS):
-            self.jobs[i] = HomeLoan(1)
+            self.jobs[i] = OriginOffload(1)
             self.left[i] = int(self.rng.exponential(60) * S) + S
             self.home_queue.append(i)
         if own_load:
@@ -77,13 +84,13 @@
 
     # -- home ------------------------------------------------------------------------------------
 
-    def put_home(self, i: int, pair: tuple[HomeLoan, list]) -> None:
+    def put_home(self, i: int, pair: tuple[OriginOffload, list]) -> None:
         if pair[0] != self.jobs[i]:
             self.home_changes += 1
-            if pair[0].answer and not self.jobs[i].answer:
+            if pair[0].final_state and not self.jobs[i].final_state:
                 assert i not in self.finished, "answered twice"
                 self.finished[i] = self.now
-            if pair[0].state == ho.AT_HOME and not pair[0].answer:
+            if pair[0].state == handoff.AT_ORIGIN and not pair[0].final_state:
                 self.home_queue.appendleft(i)
             self.jobs[i] = pair[0]
         for message in pair[1]:
@@ -98,7 +105,7 @@
 
     def home_done(self, i: int) -> None:
         del self.home_runs[i]
-        self.put_home(i, (ho.done_at_home(self.jobs[i], 0), []))
+        self.put_home(i, (handoff.task_done_at_origin(self.jobs[i], 0), []))
         self.start_home()
 
     def look(self) -> None:
@@ -110,7 +117,7 @@
             for place, i in enumerate(self.home_queue):
                 end = ends[place] if place < len(ends) else ends[-1] + place * S if ends else 0
                 waiting.append(
-                    Waiting(
+                    WaitingJob(
                         f"req-{i}",
                         "c",
                         "t",
@@ -120,49 +127,52 @@
                         0.1,
                         max(end - self.now, 0),
                         AIM_US,
-                        pivot=place == 0,
+                        is_queue_head=place == 0,
                         returned=self.returns.get(i, 0),
                     )
                 )
             free = SLOTS - self.own_runs - len(self.guest_runs)
-            held = sum(loan.state == ho.RESERVED for loan in self.loans.values())
-            room = offered(
+            held = sum(loan.state == handoff.RESERVED for loan in self.loans.values())
+            room = capacity_to_offer(
                 Grant(SLOTS, 0, 1e9),
                 (free - held, 0, 1e9),
                 (len(self.own_queue), 0, 0),
                 (len(self.guest_runs) + held, 0, 0),
             )
-            peers = [Room("b", room[0], 0, 1e9, 0, LINK_US)]
-            for lend in choose(waiting, peers, Policy(most_under_way=64), self.now):
+            peers = [PeerCapacity("b", room[0], 0, 1e9, 0, LINK_US)]
+            for lend in choose_offers(waiting, peers, Policy(max_open_offers=64), self.now):
                 i = int(lend.ref.removeprefix("req-"))
                 self.home_queue.remove(i)
                 self.number += 1
                 self.handed += 1
-                self.put_home(i, ho.offer(self.jobs[i], self.number, 1, 0))
+                self.put_home(i, handoff.offer(self.jobs[i], self.number, 1, 0))
         self.at(self.now + S, self.look)
 
     # -- guest -----------------------------------------------------------------------------------
 
-    def guest_hears(self, i: int, message: ho.Message) -> None:
+    def guest_hears(self, i: int, message: handoff.Message) -> None:
         free = SLOTS - self.own_runs - len(self.guest_runs) - len(self.own_queue) > 0
-        self.put_guest(i, ho.guest_hears(self.loans.get(i, GuestLoan()), message, free))
+        self.put_guest(i, handoff.receive_at_remote(self.loans.get(i, RemoteOffload()), message, free))
 
-    def put_guest(self, i: int, pair: tuple[GuestLoan, list]) -> None:
-        if pair[0] != self.loans.get(i, GuestLoan()):
+    def put_guest(self, i: int, pair: tuple[RemoteOffload, list]) -> None:
+        if pair[0] != self.loans.get(i, RemoteOffload()):
             self.guest_changes += 1
             self.loans[i] = pair[0]
         for message in pair[1]:
-            self.at(self.now + LINK_US, lambda m=message: self.put_home(i, ho.home_hears(self.jobs[i], m)))  # type: ignore[misc]
-        if self.loans.get(i, GuestLoan()).startable and i not in self.guest_runs:
+            self.at(
+                self.now + LINK_US,
+                lambda m=message: self.put_home(i, handoff.receive_at_origin(self.jobs[i], m)),  # type: ignore[misc]
+            )
+        if self.loans.get(i, RemoteOffload()).startable and i not in self.guest_runs:
             self.epoch += 1
             self.guest_runs[i] = self.epoch
             assert i not in self.home_runs, "runs twice"
             self.at(self.now + self.left[i], lambda e=self.epoch: self.guest_done(i, e))  # type: ignore[misc]
 
     def guest_done(self, i: int, epoch: int) -> None:
-        if self.guest_runs.get(i) == epoch and self.loans[i].state == ho.HOLDING:
+        if self.guest_runs.get(i) == epoch and self.loans[i].state == handoff.HOLDING:
             del self.guest_runs[i]
-            self.put_guest(i, ho.done_at_guest(self.loans[i], 0))
+            self.put_guest(i, handoff.task_done_at_remote(self.loans[i], 0))
             self.start_own()
 
     def own_arrives(self) -> None:
@@ -181,13 +191,13 @@
             self.own_waits.append(self.now - came)
             self.own_runs += 1
             self.at(self.now + length, self.own_done)
-        stopping = sum(self.loans[i].state == ho.STOPPING for i in self.guest_runs)
+        stopping = sum(self.loans[i].state == handoff.STOPPING for i in self.guest_runs)
         for i in list(self.guest_runs):
             if stopping >= len(self.own_queue):
                 break
-            if self.loans[i].state == ho.HOLDING:
+            if self.loans[i].state == handoff.HOLDING:
                 stopping += 1
-                self.put_guest(i, (ho.give_back(self.loans[i]), []))
+                self.put_guest(i, (handoff.begin_return(self.loans[i]), []))
                 self.at(self.now + SAVE_US, lambda j=i: self.stopped(j))  # type: ignore[misc]
 
     def stopped(self, i: int) -> None:
@@ -195,7 +205,7 @@
         self.returned += 1
         self.returns[i] = self.returns.get(i, 0) + 1
         self.left[i] = max(self.left[i] // 2, S)
-        self.put_guest(i, ho.stopped(self.loans[i]))
+        self.put_guest(i, handoff.all_tasks_stopped(self.loans[i]))
         self.start_own()
 
     def own_done(self) -> None:
@@ -219,18 +229,20 @@
     rng = np.random.default_rng(5)
     starts = rng.integers(0, 600 * S, count)
     waiting = [
-        Waiting(f"req-{i}", "c", "t", 1 + i % 7, 2.0, 0, 4.0, int(starts[i]), AIM_US, gang=i % 3 == 0)
+        WaitingJob(f"req-{i}", "c", "t", 1 + i % 7, 2.0, 0, 4.0, int(starts[i]), AIM_US, gang=i % 3 == 0)
         for i in range(count)
     ]
     policy = Policy()
     best = 1e9
     for _ in range(3):
-        rooms = [Room(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)]
+        rooms = [PeerCapacity(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)]
         begun = time.process_time()
-        lent = choose(waiting, rooms, policy, 0)
+        lent = choose_offers(waiting, rooms, policy, 0)
         best = min(best, time.process_time() - begun)
     tracemalloc.start()
-    choose(waiting, [Room(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)], policy, 0)
+    choose_offers(
+        waiting, [PeerCapacity(f"p{i}", 200.0, 0, 1000.0, i * S, LINK_US) for i in range(8)], policy, 0
+    )
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return {
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -17,17 +17,25 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
-from pearstep.federation import handoff as ho
-from pearstep.federation import peers as pe
-from pearstep.federation.books import Books, Entry, GuestBook, Need
+from pearstep.federation import handoff, peer_health
+from pearstep.federation.capacity_estimate import (
+    CapacityEstimate,
+    add_amounts,
+    capacity_for_peer,
+    estimate_capacity,
+    offloads_to_return,
+    to_resource_amounts,
+    waiting_jobs,
+    waiting_with_estimates,
+)
 from pearstep.federation.carrying import Carrying
 from pearstep.federation.desk import Desk
-from pearstep.federation.facts import Facts, answer
 from pearstep.federation.keys import Keys
+from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
-from pearstep.federation.overflow import Grant, Room, choose
-from pearstep.federation.reckon import Look, add, as_need, give_way, look, room, waiting, waiting_jobs
-from pearstep.federation.replica import Loans
+from pearstep.federation.offload_records import OffloadRecords
+from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
+from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.state.job import Job
@@ -58,14 +66,14 @@
         self.site = self.keys.site
         self.policy = s.leaving.policy()
         p = s.patience
-        self.patience = pe.Patience(
+        self.patience = peer_health.HealthTimeouts(
             int(p.suspect_s * SECOND_US),
             int(p.cut_s * SECOND_US),
             int(p.gone_s * SECOND_US),
-            rest_us=int(p.rest_s * SECOND_US),
+            backoff_us=int(p.rest_s * SECOND_US),
         )
         self.desk: Desk | None = None
-        self.seen = Look()
+        self.seen = CapacityEstimate()
         self._chief: Leadership | None = None
         self._lent_us = -(1 << 60)
         self._offered: dict[str, int] = {}
@@ -73,13 +81,13 @@
         self._tasks = BackgroundTasks(EventLogger(log.name))
         self._renewing: dict[tuple[str, str], int] = {}
         self._listening = False
-        self.facts = Facts()
+        self.facts = FederationMetrics()
 
     def attach(self, controller: Controller) -> None:
         """The node is made."""
         self.node = controller
         self.view = controller.replica
-        self.loans = Loans(controller.replica, self._changed)
+        self.loans = OffloadRecords(controller.replica, self._changed)
         self.link = Link(self.keys, {}, self._hear, self._serve)
         self.carrying = Carrying(self.settings.archives, self.link, self.loans, controller.replica)
 
@@ -89,7 +97,7 @@
 
     def _changed(self, key: str) -> None:
         if self.desk is not None and key[:2] in ("l/", "g/"):
-            self.desk.books.changed(key)
+            self.desk.books.record_changed(key)
 
     # -- the desk, while this node leads ---------------------------------------------------------
 
@@ -102,7 +110,7 @@
         if self.node.kv.unavailable_since_us is not None or not self.node.leases.may_act():
             return None
         if chief is not self._chief:
-            books = Books(
+            books = OffloadLedger(
                 chief.fencing_token,
                 {},
                 int(self.settings.reserve_s * SECOND_US),
@@ -110,7 +118,9 @@
                 int(self.settings.margin_s * SECOND_US),
             )
             loans = self.loans
-            books.share(loans.home, loans.guest, loans.open_home, loans.open_guest)
+            books.follow_records(
+                loans.origin_records, loans.remote_records, loans.open_origin, loans.open_remote
+            )
             self._chief = chief
             self._offered.clear()
             self.desk = Desk(
@@ -127,8 +137,8 @@
             )
             log.info(
                 "keeping the desk: %d loans open as home, %d as guest",
-                len(self.loans.open_home),
-                len(self.loans.open_guest),
+                len(self.loans.open_origin),
+                len(self.loans.open_remote),
             )
         assert self.desk is not None
         return self.desk
@@ -145,14 +155,14 @@
         for name, rec in known.items():
             peer = desk.peers.get(name)
             if peer is None:
-                peer = desk.peers[name] = pe.Peer(name, self.patience, now)
-            if rec.drained and peer.state != pe.DRAINED:
+                peer = desk.peers[name] = peer_health.PeerHealth(name, self.patience, now)
+            if rec.drained and peer.state != peer_health.DRAINED:
                 peer.drain()
-            elif not rec.drained and peer.state == pe.DRAINED:
+            elif not rec.drained and peer.state == peer_health.DRAINED:
                 peer.resume()
             desk.books.grants[name] = rec.grant if not rec.drained else Grant()
 
-    async def _commit(self, entry: Entry) -> bool:
+    async def _commit(self, entry: LedgerEntry) -> bool:
         """Write an entry together with what it means for its job."""
         chief = self._chief
         if chief is None or not chief.is_current():
@@ -162,8 +172,8 @@
             writes = home_writes(self.view, rest, entry, wall_us())
         else:
             peer, _, ref = rest.partition("/")
-            assert self.desk is not None and isinstance(entry.after, GuestBook)
-            until = self.desk.books.until_us(entry.after)
+            assert self.desk is not None and isinstance(entry.after, RemoteRecord)
+            until = self.desk.books.run_until_us(entry.after)
             writes = guest_writes(self.view, peer, ref, entry, wall_us(), until)
         return writes is not None and await chief.commit(*writes) == CommitOutcome.COMMITTED
 
@@ -183,55 +193,59 @@
         await self._tend_home(desk)
         await self._tend_guest(desk)
         await desk.step()
-        self.facts.follow(desk, self.loans, self.link.refused)
+        self.facts.update(desk, self.loans, self.link.refused)
 
     async def _tend_home(self, desk: Desk) -> None:
         now = now_us()
-        for ref in list(self.loans.open_home):
-            book, job = self.loans.home[ref], self.view.jobs.get(ref)
+        for ref in list(self.loans.open_origin):
+            book, job = self.loans.origin_records[ref], self.view.jobs.get(ref)
             rec = self.loans.peers.get(book.peer)
-            since = self._offered.setdefault(ref, now) if book.loan.state == ho.OFFERED else now
+            since = self._offered.setdefault(ref, now) if book.offload.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
-                entry = desk.books.act(ref, ho.force(book.loan))
+                entry = desk.books.change_origin(ref, handoff.force_end(book.offload))
                 if entry is not None:
                     why = rec.forgotten if rec is not None else "the peer was removed"
                     entry.after = msgspec.structs.replace(entry.after, forced=why)
                     log.warning("loan of %s to %s ended by an operator's word: %s", ref, book.peer, why)
                     await desk.do(entry)
-            elif desk.books.over(book, wall_us()):
+            elif desk.books.term_has_ended(book, wall_us()):
                 log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.do(desk.books.act(ref, ho.term_over(book.loan)))
-            elif book.loan.state == ho.OFFERED and (
+                await desk.do(desk.books.change_origin(ref, handoff.take_back_after_term(book.offload)))
+            elif book.offload.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
-                await desk.do(desk.books.act(ref, ho.withdraw(book.loan)))
-        for ref in [r for r in self._offered if r not in self.loans.open_home]:
+                await desk.do(desk.books.change_origin(ref, handoff.withdraw(book.offload)))
+        for ref in [r for r in self._offered if r not in self.loans.open_origin]:
             del self._offered[ref]
 
     async def _tend_guest(self, desk: Desk) -> None:
         """What is borrowed: begin it, notice its end, give back what must go."""
-        rows: list[tuple[tuple[str, str], GuestBook, Job | None]] = []
-        for peer, ref in list(self.loans.open_guest):
-            book = self.loans.guest[peer, ref]
-            job = self.view.jobs.get(local_ref(peer, ref, book.loan.number))
+        rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
+        for peer, ref in list(self.loans.open_remote):
+            book = self.loans.remote_records[peer, ref]
+            job = self.view.jobs.get(local_ref(peer, ref, book.offload.number))
             rows.append(((peer, ref), book, job))
-            if book.loan.state == ho.HOLDING and job is None:
+            if book.offload.state == handoff.HOLDING and job is None:
                 if (peer, ref) not in self._starting:
                     self._starting.add((peer, ref))
                     self._tasks.start(self._begin(peer, ref))
             elif job is not None and (
-                (job.is_final and book.loan.state in (ho.HOLDING, ho.STOPPING))
-                or (book.loan.state == ho.STOPPING and job.past_run_limit(wall_us()) and not job.placed_tasks)
+                (job.is_final and book.offload.state in (handoff.HOLDING, handoff.STOPPING))
+                or (
+                    book.offload.state == handoff.STOPPING
+                    and job.past_run_limit(wall_us())
+                    and not job.placed_tasks
+                )
             ):
                 await self._ended(desk, peer, ref, book, job)
-            elif book.loan.state == ho.STOPPING and job is None:
-                await desk.do(desk.books.act_as_guest(peer, ref, ho.stopped(book.loan)))
-            if book.term_us and book.loan.state == ho.HOLDING:
+            elif book.offload.state == handoff.STOPPING and job is None:
+                await desk.do(desk.books.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload)))
+            if book.term_us and book.offload.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
-        for loan in [n for n in self._renewing if n not in self.loans.open_guest]:
+        for loan in [n for n in self._renewing if n not in self.loans.open_remote]:
             del self._renewing[loan]
         s = self.settings
-        for peer, ref in give_way(
+        for peer, ref in offloads_to_return(
             self.seen, rows, now_us(), int(s.yield_s * SECOND_US), int(s.idle_s * SECOND_US), wall_us()
         ):
             log.info("giving %s back to %s", ref, peer)
@@ -239,21 +253,23 @@
 
     async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.books.act_as_guest(peer, ref, (ho.give_back(self.loans.guest[peer, ref].loan), []))
+        entry = desk.books.change_remote(
+            peer, ref, (handoff.begin_return(self.loans.remote_records[peer, ref].offload), [])
+        )
         if entry is not None:
-            entry.orderly = True
+            entry.graceful = True
             await desk.do(entry)
 
-    async def _keep_term(self, desk: Desk, peer: str, ref: str, book: GuestBook) -> None:
+    async def _keep_term(self, desk: Desk, peer: str, ref: str, book: RemoteRecord) -> None:
         """Ask for more time once half of the term is over, and give the job back at its end.
 
         The shard owners stop running tasks by themselves then; this only reports it to the home site.
         """
-        if wall_us() >= desk.books.until_us(book):
+        if wall_us() >= desk.books.run_until_us(book):
             log.info("the term of %s from %s is over here", ref, peer)
             await self._give_back(desk, peer, ref)
         elif now_us() - self._renewing.get((peer, ref), -(1 << 60)) >= SECOND_US:
-            said = desk.books.renewal(peer, ref, wall_us())
+            said = desk.books.renewal_request(peer, ref, wall_us())
             if said is not None:
                 self._renewing[peer, ref] = now_us()
                 desk.say(peer, said)
@@ -261,37 +277,37 @@
     async def _begin(self, peer: str, ref: str) -> None:
         """Bring what the job runs, then let it be a job here."""
         try:
-            book, chief = self.loans.guest.get((peer, ref)), self._chief
+            book, chief = self.loans.remote_records.get((peer, ref)), self._chief
             if book is None or chief is None:
                 return
             desk = self.desk
-            until = desk.books.until_us(book) if desk is not None else 0
+            until = desk.books.run_until_us(book) if desk is not None else 0
             rec = borrowed_rec(peer, ref, book, wall_us(), until)
             if rec is None or not await self.carrying.fetch_description(peer, ref, rec.spec.job_id):
                 return
             # Only while the loan is held: stopping it writes the same record.
             key, job = f"g/{peer}/{ref}", f"j/{rec.spec.job_id}"
-            if self.loans.guest.get((peer, ref)) == book:
+            if self.loans.remote_records.get((peer, ref)) == book:
                 await chief.commit({job: rec}, {key: self.view.version_of(key), job: 0})
         finally:
             self._starting.discard((peer, ref))
 
-    async def _ended(self, desk: Desk, peer: str, ref: str, book: GuestBook, job: Job) -> None:
+    async def _ended(self, desk: Desk, peer: str, ref: str, book: RemoteRecord, job: Job) -> None:
         """The borrowed job is over: once nothing of it is anywhere, home is told."""
         if job.placed_tasks:
             return
-        loan, says = book.loan, list[ho.Message]()
-        if loan.state == ho.HOLDING and job.state != JobState.DONE:
+        loan, says = book.offload, list[handoff.Message]()
+        if loan.state == handoff.HOLDING and job.state != JobState.DONE:
             # Somebody here has cancelled it.
-            await desk.do(desk.books.act_as_guest(peer, ref, (ho.give_back(loan), [])))
+            await desk.do(desk.books.change_remote(peer, ref, (handoff.begin_return(loan), [])))
             return
-        done = loan.rows if job.state == JobState.DONE else job.done_tasks & loan.rows
+        done = loan.task_mask if job.state == JobState.DONE else job.done_tasks & loan.task_mask
         for task in range(job.spec.tasks):
-            if done >> task & 1 and loan.state in (ho.HOLDING, ho.STOPPING):
-                loan, says = ho.done_at_guest(loan, task)
-        if loan.state == ho.STOPPING:
-            loan, says = ho.stopped(loan)
-        await desk.do(desk.books.act_as_guest(peer, ref, (loan, says)))
+            if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
+                loan, says = handoff.task_done_at_remote(loan, task)
+        if loan.state == handoff.STOPPING:
+            loan, says = handoff.all_tasks_stopped(loan)
+        await desk.do(desk.books.change_remote(peer, ref, (loan, says)))
 
     # -- lending ---------------------------------------------------------------------------------
 
@@ -300,8 +316,8 @@
 
         No route is in flight at this moment, so that an offered task can't be routed at the same time.
         """
-        for ref in list(self.loans.open_home):
-            self.loans.mark(ref)
+        for ref in list(self.loans.open_origin):
+            self.loans.mark_offloaded_tasks(ref)
         desk, now = self.desk, now_us()
         if desk is None or chief is not self._chief or now - self._lent_us < self.settings.lend_s * SECOND_US:
             return
@@ -311,8 +327,10 @@
         self._lent_us = now
         s = self.settings
         refs = [job.spec.job_id for job, _ in waiting_jobs(chief.planner)]
-        returned = {ref: self.loans.home[ref].returned for ref in refs if ref in self.loans.home}
-        queue = waiting(
+        returned = {
+            ref: self.loans.origin_records[ref].returned for ref in refs if ref in self.loans.origin_records
+        }
+        queue = waiting_with_estimates(
             chief.planner,
             self.node.settings.shard_count,
             self.node.settings.start_objectives,
@@ -322,15 +340,15 @@
             now,
             wall_us(),
         )
-        entries: list[Entry] = []
-        for lend in choose(queue, rooms, self.policy, now):
+        entries: list[LedgerEntry] = []
+        for lend in choose_offers(queue, rooms, self.policy, now):
             job = self.view.jobs[lend.ref]
             spec = job.spec
             term_us = int(s.leaving.terms_s.get(spec.job_class, 0.0) * SECOND_US)
-            entry = desk.books.lend(
+            entry = desk.books.offer(
                 lend.ref,
                 spec.tasks,
-                Need(spec.cpus, spec.gpus, spec.memory_gb),
+                ResourceAmounts(spec.cpus, spec.gpus, spec.memory_gb),
                 lend,
                 job.placed_tasks | job.done_tasks,
                 bool(term_us),
@@ -338,24 +356,30 @@
                 term_us,
             )
             if entry is not None:
-                log.info("offering %d tasks of %s to %s", lend.rows, lend.ref, lend.peer)
+                log.info("offering %d tasks of %s to %s", lend.task_count, lend.ref, lend.peer)
                 entries.append(entry)
         await asyncio.gather(*(desk.do(entry) for entry in entries))
 
-    def _rooms(self, desk: Desk, now: int) -> list[Room]:
+    def _rooms(self, desk: Desk, now: int) -> list[PeerCapacity]:
         out = []
         under_way: dict[str, int] = {}
-        for ref in self.loans.open_home:
-            book = self.loans.home[ref]
-            if book.loan.state == ho.OFFERED:
+        for ref in self.loans.open_origin:
+            book = self.loans.origin_records[ref]
+            if book.offload.state == handoff.OFFERED:
                 under_way[book.peer] = under_way.get(book.peer, 0) + 1
         for name, peer in desk.peers.items():
             offer, at = desk.offers.get(name, (None, 0))
             rec = self.loans.peers.get(name)
-            if offer is None or rec is None or not rec.lend or now - at > FRESH_US or not peer.lends(now):
+            if (
+                offer is None
+                or rec is None
+                or not rec.lend
+                or now - at > FRESH_US
+                or not peer.accepts_offers(now)
+            ):
                 continue
             out.append(
-                Room(
+                PeerCapacity(
                     name,
                     offer.cpus,
                     offer.gpus,
@@ -371,7 +395,7 @@
     def after_plan(self, chief: Leadership) -> None:
         """After a pass: what is free, and what waits."""
         now = now_us()
-        self.seen = look(chief.planner, self.seen, now)
+        self.seen = estimate_capacity(chief.planner, self.seen, now)
         self.seen.refused = any(until > now for until in chief.autoscaler.refused_until_us.values())
         rents = {f"peer:{name}" for name, rec in self.loans.peers.items() if rec.grant.rent}
 
@@ -388,13 +412,15 @@
         desk = self.desk
         if rec is None or desk is None:
             return (0.0, 0.0, 0.0)
-        return room(rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained)
+        return capacity_for_peer(
+            rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained
+        )
 
-    def _free(self, peer: str) -> Need:
+    def _free(self, peer: str) -> ResourceAmounts:
         """What the books may reserve for a peer; they subtract themselves what is reserved already."""
         desk = self.desk
         assert desk is not None
-        return as_need(add(self._amounts(peer), desk.books.reserved()))
+        return to_resource_amounts(add_amounts(self._amounts(peer), desk.books.reserved()))
 
     def _offer(self, peer: str) -> Offer | None:
         amounts = self._amounts(peer)
@@ -416,11 +442,11 @@
         """
         ref = job.spec.job_id
         key = f"l/{ref}"
-        book = self.loans.home.get(ref)
-        if book is None or book.loan.state not in (ho.GRANTED, ho.RECALLING):
+        book = self.loans.origin_records.get(ref)
+        if book is None or book.offload.state not in (handoff.GRANTED, handoff.RECALLING):
             return {key: self.view.version_of(key)}
-        if not book.loan.cancel:
-            after = msgspec.structs.replace(book, loan=ho.cancel(book.loan)[0])
+        if not book.offload.cancel_requested:
+            after = msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0])
             outcome = await self.node.kv.commit(
                 {key: self.view.version_of(key), f"j/{ref}": job.version},
                 {key: (after, None)},
@@ -449,4 +475,4 @@
     def handle(self, request: HTTPServerRequest) -> Answer | None:
         """Questions of operators."""
         known: dict[str, Any] = {"site": self.site, "node": self.node.node}
-        return answer(request, known, self.desk, self.loans, self.facts)
+        return answer_request(request, known, self.desk, self.loans, self.facts)
--- a/pearstep/federation/writes.py
+++ b/pearstep/federation/writes.py
@@ -14,9 +14,9 @@
 from pearstep.domain.job_spec import PRIORITIES, JobSpec
 from pearstep.domain.job_state import JobState
 from pearstep.domain.task_set import format_task_ranges
-from pearstep.federation import handoff as ho
-from pearstep.federation.books import Entry, GuestBook, HomeBook
-from pearstep.federation.replica import OPEN_HOME
+from pearstep.federation import handoff
+from pearstep.federation.ledger import LedgerEntry, OriginRecord, RemoteRecord
+from pearstep.federation.offload_records import OPEN_ORIGIN_STATES
 from pearstep.leader.route_plan import RoutePlan
 from pearstep.state.job import Job
 from pearstep.state.records import JobRecord
@@ -48,18 +48,20 @@
     return spec.job_id.startswith("lent-")
 
 
-def borrowed_rec(peer: str, ref: str, book: GuestBook, wall_us: int, until_us: int = 0) -> JobRecord | None:
+def borrowed_rec(
+    peer: str, ref: str, book: RemoteRecord, wall_us: int, until_us: int = 0
+) -> JobRecord | None:
     """Return the record of the job that runs here for a peer, or None if it may not begin.
 
     It has the task numbers of the origin cluster, without the tasks that are not offloaded, the lowest
     priority, and a class of its own, so that no service-level objective or quota guarantee of ours counts for
     it. A job whose term is over doesn't begin.
     """
-    if book.spec is None or book.loan.state != ho.HOLDING or (until_us and wall_us >= until_us):
+    if book.spec is None or book.offload.state != handoff.HOLDING or (until_us and wall_us >= until_us):
         return None
     spec = msgspec.structs.replace(
         book.spec,
-        job_id=local_ref(peer, ref, book.loan.number),
+        job_id=local_ref(peer, ref, book.offload.number),
         team=team_of(peer),
         job_class=f"{peer}:{book.spec.job_class}",
         priority=LOWEST,
@@ -68,34 +70,34 @@
     return JobRecord(
         spec,
         wall_us,
-        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.loan.rows),
+        excluded_tasks=format_task_ranges(spec.all_tasks & ~book.offload.task_mask),
         run_until_us=until_us,
     )
 
 
-def home_writes(view: Replica, ref: str, entry: Entry, wall_us: int) -> Writes | None:
+def home_writes(view: Replica, ref: str, entry: LedgerEntry, wall_us: int) -> Writes | None:
     """Return the transaction of an entry of the origin cluster; None if the job no longer allows it."""
-    assert isinstance(entry.after, HomeBook)
+    assert isinstance(entry.after, OriginRecord)
     job = view.jobs.get(ref)
     if job is None:
         return None
     key = entry.key
-    loan = entry.after.loan
-    before = entry.before.loan.state if isinstance(entry.before, HomeBook) else ho.AT_HOME
+    loan = entry.after.offload
+    before = entry.before.offload.state if isinstance(entry.before, OriginRecord) else handoff.AT_ORIGIN
     puts: dict[str, Any] = {key: entry.after}
     conditions = {key: view.version_of(key)}
-    if loan.state in (ho.OFFERED, ho.GRANTED) and loan.state != before:
+    if loan.state in (handoff.OFFERED, handoff.GRANTED) and loan.state != before:
         # A grant must not overtake a cancellation that another controller has accepted.
         if job.state != JobState.QUEUED:
             return None
         conditions[f"j/{ref}"] = job.version
-    if loan.state == ho.OFFERED and before != ho.OFFERED:
-        if loan.rows & (job.placed_tasks | job.done_tasks) or job.spans_shards:
+    if loan.state == handoff.OFFERED and before != handoff.OFFERED:
+        if loan.task_mask & (job.placed_tasks | job.done_tasks) or job.spans_shards:
             return None
-        route_puts, route_conditions = _unroute(job, loan.rows)
+        route_puts, route_conditions = _unroute(job, loan.task_mask)
         puts |= route_puts
         conditions |= route_conditions
-    if job.state == JobState.QUEUED and loan.state not in OPEN_HOME:
+    if job.state == JobState.QUEUED and loan.state not in OPEN_ORIGIN_STATES:
         final_state = _final_state(job, loan)
         if final_state is not None:
             puts[f"j/{ref}"] = JobRecord(job.spec, job.submitted_at_us, final_state, wall_us)
@@ -112,25 +114,25 @@
     return routing.writes()
 
 
-def _final_state(job: Job, loan: ho.HomeLoan) -> JobState | None:
+def _final_state(job: Job, loan: handoff.OriginOffload) -> JobState | None:
     """Return the final state of a job whose offload has ended; None if the job goes on."""
-    if (job.done_tasks | loan.done) == job.spec.all_tasks and job.spec.kind != "service":
+    if (job.done_tasks | loan.done_mask) == job.spec.all_tasks and job.spec.kind != "service":
         return JobState.DONE
-    return JobState.CANCELLED if loan.answer == "cancelled" else None
+    return JobState.CANCELLED if loan.final_state == "cancelled" else None
 
 
 def guest_writes(
-    view: Replica, peer: str, ref: str, entry: Entry, wall_us: int, until_us: int = 0
+    view: Replica, peer: str, ref: str, entry: LedgerEntry, wall_us: int, until_us: int = 0
 ) -> Writes | None:
     """Return the transaction of an entry of the remote cluster.
 
     ``until_us`` is the wall time until which the job may run after it; 0 if there is no term.
     """
-    assert isinstance(entry.after, GuestBook)
-    loan = entry.after.loan
+    assert isinstance(entry.after, RemoteRecord)
+    loan = entry.after.offload
     puts: dict[str, Any] = {entry.key: entry.after}
     conditions = {entry.key: view.version_of(entry.key)}
-    if loan.state in (ho.STOPPING, ho.GIVEN_BACK):
+    if loan.state in (handoff.STOPPING, handoff.RETURNED):
         # From here on nothing of it starts: the job is cancelled in the same transaction, or can't be
         # created. If it is returned without being asked for, the shard owners stop it with time for a
         # checkpoint, as at the end of a term, and it is cancelled once nothing of it runs.
@@ -138,14 +140,14 @@
         job = view.jobs.get(key[2:])
         conditions[key] = view.version_of(key)
         if job is not None and job.state == JobState.QUEUED:
-            if entry.orderly:
+            if entry.graceful:
                 skip = format_task_ranges(job.excluded_tasks)
                 puts[key] = JobRecord(
                     job.spec, job.submitted_at_us, excluded_tasks=skip, run_until_us=max(wall_us - PAST_US, 1)
                 )
             else:
                 puts[key] = JobRecord(job.spec, job.submitted_at_us, JobState.CANCELLED, wall_us)
-    elif loan.state == ho.HOLDING and until_us:
+    elif loan.state == handoff.HOLDING and until_us:
         # A renewal reaches the shard owners in the same transaction, or not at all.
         key = f"j/{local_ref(peer, ref, loan.number)}"
         job = view.jobs.get(key[2:])
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -11,8 +11,8 @@
 from pearstep.archive import members
 from pearstep.archive.members import Here, MemberList
 from pearstep.archive.service import _Standing
-from pearstep.federation.books import GuestBook, HomeBook
-from pearstep.federation.replica import Loans, PeerRec
+from pearstep.federation.ledger import OriginRecord, RemoteRecord
+from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
 from pearstep.history.blocks import Final, pack, unpack
@@ -89,23 +89,24 @@
     "fence_of_leader": (WriteFenceRecord, dict()),
 }
 LOANS = {
-    "loan_home_all": (HomeBook, dict(loan=dict(tasks=16, state="recalling", number=4_294_967_297, rows=10,
-        done=2, repeats=True, cancel=True, answer="cancelled"), peer="south", need=dict(cpus=8.0,
-        gpus=1.5, memory_gb=64.25), returned=2, spec=SPEC, forced="ana: site is gone", term_us=60_000_000,
-        since_us=1_700_000_000_000_001)),
-    "loan_home_defaults": (HomeBook, dict(loan=dict(tasks=2, state="at home", number=0, rows=0, done=0,
-        repeats=False, cancel=False, answer=""), peer="", need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0),
-        returned=0, spec=None, forced="", term_us=0, since_us=0)),
-    "loan_guest_all": (GuestBook, dict(loan=dict(state="holding", number=4_294_967_297, rows=10, done=2,
-        repeats=True, high=4_294_967_298), need=dict(cpus=8.0, gpus=1.5, memory_gb=64.25),
-        since_us=1_700_000_000_000_001, spec=SPEC, term_us=60_000_000)),
-    "loan_guest_defaults": (GuestBook, dict(loan=dict(state="none", number=0, rows=0, done=0,
-        repeats=False, high=0), need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), since_us=0, spec=None,
-        term_us=0)),
-    "peer_all": (PeerRec, dict(addrs=["10.1.0.1:7101", "10.1.0.2:7101"], lend=False, grant=dict(cpus=32.0,
+    "loan_home_all": (OriginRecord, dict(offload=dict(tasks=16, state="recalling", number=4_294_967_297,
+        task_mask=10, done_mask=2, rerunnable=True, cancel_requested=True, final_state="cancelled"),
+        peer="south", need=dict(cpus=8.0, gpus=1.5, memory_gb=64.25), returned=2, spec=SPEC,
+        forced="ana: site is gone", term_us=60_000_000, since_us=1_700_000_000_000_001)),
+    "loan_home_defaults": (OriginRecord, dict(offload=dict(tasks=2, state="at home", number=0, task_mask=0,
+        done_mask=0, rerunnable=False, cancel_requested=False, final_state=""), peer="",
+        need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), returned=0, spec=None, forced="", term_us=0,
+        since_us=0)),
+    "loan_guest_all": (RemoteRecord, dict(offload=dict(state="holding", number=4_294_967_297, task_mask=10,
+        done_mask=2, rerunnable=True, highest_number=4_294_967_298), need=dict(cpus=8.0, gpus=1.5,
+        memory_gb=64.25), since_us=1_700_000_000_000_001, spec=SPEC, term_us=60_000_000)),
+    "loan_guest_defaults": (RemoteRecord, dict(offload=dict(state="none", number=0, task_mask=0, done_mask=0,
+        rerunnable=False, highest_number=0), need=dict(cpus=1.0, gpus=0.0, memory_gb=0.0), since_us=0,
+        spec=None, term_us=0)),
+    "peer_all": (PeerRecord, dict(addrs=["10.1.0.1:7101", "10.1.0.2:7101"], lend=False, grant=dict(cpus=32.0,
         gpus=2.0, memory_gb=128.0, spare=0.25, rent=True), price=1.5, drained=True,
         forgotten="ana: site is gone")),
-    "peer_defaults": (PeerRec, dict(addrs=["10.2.0.1:7101"], lend=True, grant=dict(cpus=0.0, gpus=0.0,
+    "peer_defaults": (PeerRecord, dict(addrs=["10.2.0.1:7101"], lend=True, grant=dict(cpus=0.0, gpus=0.0,
         memory_gb=0.0, spare=0.1, rent=False), price=1.0, drained=False, forgotten="")),
 }
 HISTORY = {
@@ -173,7 +174,7 @@
 def view_of(names):
     """A view that has read these files under their keys; the stamp is the place in the order."""
     view = Replica()
-    loans = Loans(view, lambda key: None)
+    loans = OffloadRecords(view, lambda key: None)
     for stamp, name in enumerate(names, 1):
         assert view.put(KEYS[name], stamp, stored(name), 0)
     assert not view.unreadable
@@ -200,10 +201,10 @@
         1,
     )
     assert files.fields(view.layout) == {"zones": []}
-    assert sorted(loans.home) == ["req-000412", "req-7"]
-    assert sorted(loans.guest) == [("south", "req-000412"), ("south", "req-7")]
+    assert sorted(loans.origin_records) == ["req-000412", "req-7"]
+    assert sorted(loans.remote_records) == [("south", "req-000412"), ("south", "req-7")]
     assert sorted(loans.peers) == ["north", "south"]
-    assert (loans.open_home, loans.open_guest) == ({"req-000412"}, {("south", "req-000412")})
+    assert (loans.open_origin, loans.open_remote) == ({"req-000412"}, {("south", "req-000412")})
 
 
 def test_the_view_forgets_each_kind_under_its_key():
@@ -215,7 +216,9 @@
     assert not (wide.routes or plain.routes or wide.placements or plain.placements)
     assert not (view.machines or view.drains or view.instance_requests or view.shard_holders)
     assert view.leader is None and view.layout is None
-    assert not (loans.home or loans.guest or loans.peers or loans.open_home or loans.open_guest)
+    assert not (
+        loans.origin_records or loans.remote_records or loans.peers or loans.open_origin or loans.open_remote
+    )
     for key in ("j/req-000412", "j/req-7"):
         assert view.delete(key, 1000)
     assert not view.jobs and not view.versions
--- a/tests/test_later_meetings.py
+++ b/tests/test_later_meetings.py
@@ -162,7 +162,7 @@
 def test_next_holder_stops_what_was_cancelled():
     assert "ran_cancelled" in rules(
         msgspec.structs.replace(HAND_OVER, until_s=HAND_OVER.until_s + 20),
-        mock.patch.object(MachineLifecycle, "_follow_cancellations", lambda *args: None),
+        mock.patch.object(MachineLifecycle, "_handle_ended_jobs", lambda *args: None),
     )
 
 
@@ -203,7 +203,7 @@
         return {key[0] for key in w.owner.gather_commit(w.now, w.now).puts}
 
     assert first_write() == {"m"}
-    assert first_write(mock.patch.object(TaskPlacement, "_recorded", lambda *args: True)) == {"m", "p"}
+    assert first_write(mock.patch.object(TaskPlacement, "_is_recorded", lambda *args: True)) == {"m", "p"}
 
 
 # -- 2.6 old reports as a leader begins ------------------------------------------------------------
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -11,12 +11,18 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.team import Team
-from pearstep.federation import handoff as ho
-from pearstep.federation.books import Books, Entry, GuestBook, HomeBook, Need
+from pearstep.federation import handoff
+from pearstep.federation.capacity_estimate import (
+    CapacityEstimate,
+    can_run_elsewhere,
+    capacity_for_peer,
+    offloads_to_return,
+    waiting_with_estimates,
+)
 from pearstep.federation.carrying import home_key, pieces
-from pearstep.federation.overflow import Grant, Lend
-from pearstep.federation.reckon import Look, give_way, may_go, room, waiting
-from pearstep.federation.replica import Loans, PeerRec
+from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
+from pearstep.federation.offload_records import OffloadRecords, PeerRecord
+from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.jobs.description import home_name
@@ -27,7 +33,7 @@
 from tests.world import TYPES, Ledger, spec
 
 S = 1_000_000
-NEED = Need(1.0, 0.0, 1.0)
+NEED = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 class Cluster:
@@ -37,9 +43,14 @@
         self.ledger = Ledger()
         self.view = Replica()
         self.changed = []
-        self.loans = Loans(self.view, self.changed.append)
-        self.books = Books(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
-        self.books.share(self.loans.home, self.loans.guest, self.loans.open_home, self.loans.open_guest)
+        self.loans = OffloadRecords(self.view, self.changed.append)
+        self.books = OffloadLedger(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
+        self.books.follow_records(
+            self.loans.origin_records,
+            self.loans.remote_records,
+            self.loans.open_origin,
+            self.loans.open_remote,
+        )
 
     def write(self, writes):
         if writes is None:
@@ -68,11 +79,11 @@
         return self.view.jobs["req-1"]
 
     def offer(self, job, rows):
-        return self.books.lend(
+        return self.books.offer(
             "req-1",
             job.spec.tasks,
             NEED,
-            Lend("req-1", "kigali", rows),
+            PlannedOffer("req-1", "kigali", rows),
             job.placed_tasks | job.done_tasks,
             False,
             job.spec,
@@ -80,8 +91,10 @@
 
 
 def hear(cluster, kind, **fields):
-    loan = cluster.loans.home["req-1"].loan
-    return cluster.books.act("req-1", ho.home_hears(loan, ho.Message(kind, loan.number, **fields)))
+    loan = cluster.loans.origin_records["req-1"].offload
+    return cluster.books.change_origin(
+        "req-1", handoff.receive_at_origin(loan, handoff.Message(kind, loan.number, **fields))
+    )
 
 
 def test_an_offer_takes_the_route_away_and_what_was_placed_meanwhile_stays():
@@ -107,7 +120,7 @@
         one = Cluster()
         job = one.job(kind="array", tasks=2)
         assert one.home(one.offer(job, 2))
-        grant = hear(one, ho.ACCEPT)
+        grant = hear(one, handoff.ACCEPT)
         # Any node: under the conditions that it was told.
         stamps = {"j/req-1": job.version, "l/req-1": one.view.version_of("l/req-1")}
         cancel = ({"j/req-1": JobRecord(job.spec, 1, JobState.CANCELLED, 2)}, stamps)
@@ -118,39 +131,41 @@
         )
         assert granted != cancelled
         assert job.is_final == cancelled
-        assert one.loans.home["req-1"].loan.state == (ho.GRANTED if granted else ho.OFFERED)
+        assert one.loans.origin_records["req-1"].offload.state == (
+            handoff.GRANTED if granted else handoff.OFFERED
+        )
 
 
 def test_a_lent_job_that_is_cancelled_ends_with_the_guests_word():
     one = Cluster()
     job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, ho.ACCEPT))
+    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     # What any node writes when a user cancels: the wish alone.
-    book = one.loans.home["req-1"]
-    one.put("l/req-1", msgspec.structs.replace(book, loan=ho.cancel(book.loan)[0]))
+    book = one.loans.origin_records["req-1"]
+    one.put("l/req-1", msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0]))
     assert (
         job.state == JobState.QUEUED
         and job.offloaded_tasks == job.spec.all_tasks
         and not job.has_waiting_tasks
     )
-    assert "l/req-1" in one.changed and one.loans.home["req-1"].loan.state == ho.RECALLING
-    assert one.home(hear(one, ho.OVER, rows=0b011, done=0b001))
-    assert job.state == JobState.CANCELLED and one.loans.open_home == set()
+    assert "l/req-1" in one.changed and one.loans.origin_records["req-1"].offload.state == handoff.RECALLING
+    assert one.home(hear(one, handoff.ENDED, task_mask=0b011, done_mask=0b001))
+    assert job.state == JobState.CANCELLED and one.loans.open_origin == set()
 
 
 def test_the_last_result_ends_the_job_wherever_it_comes_from():
     one = Cluster()
     job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, ho.ACCEPT))
+    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
     one.put("r/0/req-1", RouteRecord("2"))
     one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
-    assert one.home(hear(one, ho.RESULT, rows=0b011, done=0b011))
-    assert job.state == JobState.DONE and one.loans.home["req-1"].loan.done == 0b011
+    assert one.home(hear(one, handoff.RESULT, task_mask=0b011, done_mask=0b011))
+    assert job.state == JobState.DONE and one.loans.origin_records["req-1"].offload.done_mask == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
-    assert other.home(other.offer(job, 2)) and other.home(hear(other, ho.ACCEPT))
-    assert other.home(hear(other, ho.RESULT, rows=0b011, done=0b011))
+    assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
+    assert other.home(hear(other, handoff.RESULT, task_mask=0b011, done_mask=0b011))
     # Its own task still runs: its owner will find the job complete.
     assert job.state == JobState.QUEUED and job.done_tasks == 0b011 and not job.offloaded_tasks
     other.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
@@ -160,7 +175,7 @@
 def test_what_is_borrowed_runs_with_the_numbers_of_home_and_in_no_aim_of_ours():
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
-    book = GuestBook(ho.GuestLoan(ho.HOLDING, 9, 0b011000, high=9), NEED, 3, one)
+    book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
     rec = borrowed_rec("huye", "req-5", book, 50)
     there.put("j/" + rec.spec.job_id, rec)
     job = there.view.jobs["lent-huye-5-9"]
@@ -183,14 +198,14 @@
     one = spec(job_id="req-5", kind="array", tasks=2)
     for first in ("begin", "stop"):
         there = Cluster()
-        book = GuestBook(ho.GuestLoan(ho.HOLDING, 9, 0b11, high=9), NEED, 3, one)
+        book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
         there.put("g/huye/req-5", book)
         local = "j/" + local_ref("huye", "req-5", 9)
         begin = (
             {local: borrowed_rec("huye", "req-5", book, 5)},
             {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
         )
-        stop = there.books.act_as_guest("huye", "req-5", (ho.give_back(book.loan), []))
+        stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
         if first == "begin":
             assert there.write(begin)
             # Decided before the job was there, written after: it withdraws the job as well.
@@ -200,13 +215,13 @@
             there = Cluster()
             there.put("g/huye/req-5", book)
             there.put(local, borrowed_rec("huye", "req-5", book, 5))
-            stop = there.books.act_as_guest("huye", "req-5", (ho.give_back(book.loan), []))
-            stop.orderly = True
+            stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
+            stop.graceful = True
             assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
-            held = there.loans.guest["huye", "req-5"].loan
-            gone = there.books.act_as_guest("huye", "req-5", ho.stopped(held))
+            held = there.loans.remote_records["huye", "req-5"].offload
+            gone = there.books.change_remote("huye", "req-5", handoff.all_tasks_stopped(held))
             assert there.guest(gone) and job.state == JobState.CANCELLED
         else:
             assert there.guest(stop) and not there.write(begin)
@@ -218,14 +233,14 @@
     job = one.job(kind="array", tasks=2)
     assert one.home(one.offer(job, 2))
     late = Replica()
-    loans = Loans(late, lambda key: None)
+    loans = OffloadRecords(late, lambda key: None)
     for key in ("l/req-1", "j/req-1"):
         stamp, raw = next((s, raw) for s, k, raw in reversed(one.ledger.log) if k == key)
         late.put(key, stamp, raw, 0)
-    loans.mark("req-1")
+    loans.mark_offloaded_tasks("req-1")
     assert late.jobs["req-1"].offloaded_tasks == 0b11
     late.delete("l/req-1", one.ledger.revision + 1)
-    assert late.jobs["req-1"].offloaded_tasks == 0 and not loans.open_home
+    assert late.jobs["req-1"].offloaded_tasks == 0 and not loans.open_origin
 
 
 def test_a_node_without_lending_says_so_when_there_are_loans():
@@ -245,11 +260,17 @@
         one = spec(job_id=f"lent-huye-{i}-1", kind="array", tasks=5, cpus=1.0)
         job = Job(JobRecord(one, 0), 1, 0)
         job.placed_tasks = (1 << running) - 1
-        state = ho.HOLDING if holding else ho.STOPPING
-        loans.append((("huye", f"req-{i}"), GuestBook(ho.GuestLoan(state, 1, 31), Need(1, 0, 0), since), job))
+        state = handoff.HOLDING if holding else handoff.STOPPING
+        loans.append(
+            (
+                ("huye", f"req-{i}"),
+                RemoteRecord(handoff.RemoteOffload(state, 1, 31), ResourceAmounts(1, 0, 0), since),
+                job,
+            )
+        )
         jobs["huye", f"req-{i}"] = (since, running, holding)
-    seen = Look(own=(float(wants), 0.0, 0.0), own_since_us=0 if wants else None)
-    out = give_way(seen, loans, waited * S, 5 * S, 10**12, 0)
+    seen = CapacityEstimate(own_demand=(float(wants), 0.0, 0.0), own_waiting_since_us=0 if wants else None)
+    out = offloads_to_return(seen, loans, waited * S, 5 * S, 10**12, 0)
     assert all(jobs[name][2] and jobs[name][1] for name in out)
     freed = sum(jobs[name][1] for name in out)
     there = sum(running for _, running, holding in jobs.values() if holding)
@@ -261,20 +282,20 @@
         assert not out or freed - jobs[out[-1]][1] < wants
         assert [jobs[n][0] for n in out] == sorted((jobs[n][0] for n in out), reverse=True)
     idle = [name for name, (_, running, holding) in jobs.items() if holding and not running]
-    assert sorted(give_way(Look(), loans, 0, 5 * S, 0, 0)) == sorted(idle)
+    assert sorted(offloads_to_return(CapacityEstimate(), loans, 0, 5 * S, 0, 0)) == sorted(idle)
 
 
 def test_what_is_offered_is_idle_and_nobody_waits_for_it():
-    seen = Look(free=(50, 0, 100), own=(20, 0, 0), lent=(10, 0, 0))
+    seen = CapacityEstimate(free=(50, 0, 100), own_demand=(20, 0, 0), peer_demand=(10, 0, 0))
     zero = (0.0, 0.0, 0.0)
     grant = Grant(100, 0, 100, spare=0)
-    assert room(grant, seen, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
-    assert room(grant, seen, zero, zero, True) == zero
+    assert capacity_for_peer(grant, seen, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
+    assert capacity_for_peer(grant, seen, zero, zero, True) == zero
     # What may be rented is offered whether it is there or not, less what is held.
-    idle = Look(free=(0, 0, 0))
-    assert room(Grant(30, 0, 30, rent=True), idle, (10.0, 0.0, 40.0), zero, False) == (20, 0, 0)
+    idle = CapacityEstimate(free=(0, 0, 0))
+    assert capacity_for_peer(Grant(30, 0, 30, rent=True), idle, (10.0, 0.0, 40.0), zero, False) == (20, 0, 0)
     # But not while own work waits: all that there is to rent is rented.
-    assert room(Grant(30, 0, 30, rent=True), seen, zero, zero, False) == zero
+    assert capacity_for_peer(Grant(30, 0, 30, rent=True), seen, zero, zero, False) == zero
 
 
 def world_with(tasks, machines, running):
@@ -320,13 +341,13 @@
     )
     leader = RoutePlanner(1, one.view, TYPES, {"t": Team("t")}, 1, 12, {})
     leader.plan(20 * S, 0, 20 * S)
-    rows = waiting(leader, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
+    rows = waiting_with_estimates(leader, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
     # Both machines are free at 100 s. What is bound to a zone of ours stays, but keeps its turn.
-    assert [(w.ref, w.start_us, w.aim_us, w.rows, w.pivot, w.returned) for w in rows] == [
+    assert [(w.ref, w.start_us, w.objective_us, w.task_count, w.is_queue_head, w.returned) for w in rows] == [
         ("req-1", 80 * S, 10 * S, 2, True, 2)
     ]
-    assert waiting(leader, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
-    assert not may_go(one.view.jobs["req-2"])
+    assert waiting_with_estimates(leader, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
+    assert not can_run_elsewhere(one.view.jobs["req-2"])
 
 
 @given(st.binary(max_size=30), st.lists(st.tuples(st.integers(0, 30), st.integers(1, 5)), max_size=4))
@@ -360,7 +381,7 @@
 def test_settings_are_checked(tmp_path):
     file = tmp_path / "f.yaml"
     file.write_text("keys: k\nbinds: {node-0: 127.0.0.1:1}\nleaving: {keep_teams: [a], least_gain_s: 2}\n")
-    assert load(str(file)).leaving.policy().least_gain_us == 2 * S
+    assert load(str(file)).leaving.policy().min_gain_us == 2 * S
     for text, why in (
         ("keys: k\nbinds: {}\n", "names no controller"),
         ("keys: k\nbinds: {a: x}\n", "binds"),
@@ -389,36 +410,38 @@
 
     def do(self, cluster, write, entry, to):
         if entry is not None and write(entry):
-            self.say(to, [s.message for s in entry.says])
+            self.say(to, [s.message for s in entry.messages])
             return True
         return False
 
     def hear(self, to, message):
         if to == "guest":
-            book = self.there.loans.guest.get(("huye", "req-1")) or GuestBook(ho.GuestLoan())
-            loan, says = ho.guest_hears(book.loan, message, True)
-            if loan == book.loan:
+            book = self.there.loans.remote_records.get(("huye", "req-1")) or RemoteRecord(
+                handoff.RemoteOffload()
+            )
+            loan, says = handoff.receive_at_remote(book.offload, message, True)
+            if loan == book.offload:
                 self.say("home", says)
                 return
-            one = self.home.view.jobs["req-1"].spec if loan.state == ho.RESERVED else book.spec
-            entry = Entry("g/huye/req-1", book, GuestBook(loan, NEED, 0, one), "huye", [])
+            one = self.home.view.jobs["req-1"].spec if loan.state == handoff.RESERVED else book.spec
+            entry = LedgerEntry("g/huye/req-1", book, RemoteRecord(loan, NEED, 0, one), "huye", [])
             if self.there.guest(entry):
                 self.say("home", says)
             return
-        book = self.home.loans.home.get("req-1")
+        book = self.home.loans.origin_records.get("req-1")
         if book is None:
             return
-        loan, says = ho.home_hears(book.loan, message)
-        if loan == book.loan or self.home.home(
-            Entry("l/req-1", book, msgspec.structs.replace(book, loan=loan), "kigali", [])
+        loan, says = handoff.receive_at_origin(book.offload, message)
+        if loan == book.offload or self.home.home(
+            LedgerEntry("l/req-1", book, msgspec.structs.replace(book, offload=loan), "kigali", [])
         ):
             self.say("guest", says)
 
     def local(self):
-        book = self.there.loans.guest.get(("huye", "req-1"))
+        book = self.there.loans.remote_records.get(("huye", "req-1"))
         if book is None:
             return None, None, None
-        name = local_ref("huye", "req-1", book.loan.number)
+        name = local_ref("huye", "req-1", book.offload.number)
         return book, name, self.there.view.jobs.get(name)
 
     def step(self, what):
@@ -426,13 +449,20 @@
         book, name, there = self.local()
         if what == "offer" and not job.is_final:
             self.do(self.home, self.home.home, self.home.offer(job, 2), "guest")
-        elif what == "withdraw" and "req-1" in self.home.loans.open_home:
-            loan = self.home.loans.home["req-1"].loan
-            self.do(self.home, self.home.home, self.home.books.act("req-1", ho.withdraw(loan)), "guest")
+        elif what == "withdraw" and "req-1" in self.home.loans.open_origin:
+            loan = self.home.loans.origin_records["req-1"].offload
+            self.do(
+                self.home,
+                self.home.home,
+                self.home.books.change_origin("req-1", handoff.withdraw(loan)),
+                "guest",
+            )
         elif what == "cancel" and not job.is_final:
-            mine = self.home.loans.home.get("req-1")
-            if mine is not None and mine.loan.state in (ho.GRANTED, ho.RECALLING):
-                self.home.put("l/req-1", msgspec.structs.replace(mine, loan=ho.cancel(mine.loan)[0]))
+            mine = self.home.loans.origin_records.get("req-1")
+            if mine is not None and mine.offload.state in (handoff.GRANTED, handoff.RECALLING):
+                self.home.put(
+                    "l/req-1", msgspec.structs.replace(mine, offload=handoff.cancel(mine.offload)[0])
+                )
             else:
                 self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.CANCELLED, 2))
                 self.answers.append(JobState.CANCELLED)
@@ -458,30 +488,34 @@
                 self.there.put(f"p/0/{name}/0", PlacementRecord({}, f"{there.done_tasks | 1 << task:x}", 1))
                 if there.all_tasks_done:
                     self.there.put(f"j/{name}", JobRecord(there.spec, 1, JobState.DONE, 2))
-        elif what == "give back" and book is not None and book.loan.state == ho.HOLDING:
-            entry = self.there.books.act_as_guest("huye", "req-1", (ho.give_back(book.loan), []))
+        elif what == "give back" and book is not None and book.offload.state == handoff.HOLDING:
+            entry = self.there.books.change_remote("huye", "req-1", (handoff.begin_return(book.offload), []))
             self.there.guest(entry)
-        elif what == "tend" and book is not None and book.loan.state in (ho.HOLDING, ho.STOPPING):
-            if (there is not None and there.is_final) or (there is None and book.loan.state == ho.STOPPING):
-                loan, says = book.loan, []
+        elif (
+            what == "tend" and book is not None and book.offload.state in (handoff.HOLDING, handoff.STOPPING)
+        ):
+            if (there is not None and there.is_final) or (
+                there is None and book.offload.state == handoff.STOPPING
+            ):
+                loan, says = book.offload, []
                 done = (
                     0
                     if there is None
-                    else loan.rows
+                    else loan.task_mask
                     if there.state == JobState.DONE
-                    else there.done_tasks & loan.rows
+                    else there.done_tasks & loan.task_mask
                 )
                 for task in range(3):
-                    if done >> task & 1 and loan.state in (ho.HOLDING, ho.STOPPING):
-                        loan, says = ho.done_at_guest(loan, task)
-                if loan.state == ho.STOPPING:
-                    loan, says = ho.stopped(loan)
-                entry = self.there.books.act_as_guest("huye", "req-1", (loan, says))
+                    if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
+                        loan, says = handoff.task_done_at_remote(loan, task)
+                if loan.state == handoff.STOPPING:
+                    loan, says = handoff.all_tasks_stopped(loan)
+                entry = self.there.books.change_remote("huye", "req-1", (loan, says))
                 self.do(self.there, self.there.guest, entry, "home")
         elif what == "again":
-            mine = self.home.loans.home.get("req-1")
-            self.say("guest", ho.home_says(mine.loan) if mine else [])
-            self.say("home", ho.guest_says(book.loan) if book else [])
+            mine = self.home.loans.origin_records.get("req-1")
+            self.say("guest", handoff.origin_messages(mine.offload) if mine else [])
+            self.say("home", handoff.remote_messages(book.offload) if book else [])
 
 
 STEPS = st.sampled_from(
@@ -514,7 +548,7 @@
         said, both.wire = both.wire, []
         for to, message in said:
             both.hear(to, message)
-        if "req-1" in both.home.loans.open_home and job.is_final:
+        if "req-1" in both.home.loans.open_origin and job.is_final:
             both.step("withdraw")
         if job.state != states[-1]:
             states.append(job.state)
@@ -525,13 +559,13 @@
     if job.state == JobState.DONE:
         assert sorted(tasks) == [0, 1, 2]
     book, _, _ = both.local()
-    assert book is None or book.loan.state == ho.NONE
-    assert not both.home.loans.open_home
+    assert book is None or book.offload.state == handoff.NO_OFFLOAD
+    assert not both.home.loans.open_origin
 
 
 def test_records_of_peers_are_read_as_written():
     one = Cluster()
-    one.put("peer/huye", PeerRec(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
+    one.put("peer/huye", PeerRecord(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
     assert one.loans.peers["huye"].grant.rent
     one.view.delete("peer/huye", one.ledger.revision + 1)
     assert one.loans.peers == {}
@@ -568,8 +602,8 @@
     assert ask() == {"l/req-1": 0}
     assert one.home(one.offer(job, 2))
     assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
-    assert one.home(hear(one, ho.ACCEPT))
-    assert ask() is None and one.loans.home["req-1"].loan.cancel
+    assert one.home(hear(one, handoff.ACCEPT))
+    assert ask() is None and one.loans.origin_records["req-1"].offload.cancel_requested
     stamp = one.view.version_of("l/req-1")
     assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
-    assert isinstance(one.loans.home["req-1"], HomeBook)
+    assert isinstance(one.loans.origin_records["req-1"], OriginRecord)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -10,18 +10,17 @@
 from hypothesis import strategies as st
 
 from pearstep.emulator.cloud import free_port
-from pearstep.federation import handoff as ho
-from pearstep.federation import peers as pe
-from pearstep.federation.books import Books, Need, Said
+from pearstep.federation import handoff, peer_health
 from pearstep.federation.desk import Desk
 from pearstep.federation.handoff import Message
+from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
-from pearstep.federation.overflow import Grant, Lend
-from pearstep.federation.peers import Patience
+from pearstep.federation.offload_selection import Grant, PlannedOffer
+from pearstep.federation.peer_health import HealthTimeouts
 from tests.test_keys import site, trust
 
 S = 1_000_000
-NEED = Need(1.0, 0.0, 1.0)
+NEED = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 def free_addr():
@@ -39,17 +38,17 @@
         host, _, port = addrs[name].rpartition(":")
         self.link.listen(host, int(port))
         self.stamp = 3
-        self.desk = self.open(Books(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
+        self.desk = self.open(OffloadLedger(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
 
     def open(self, books):
         return Desk(
             self.name,
             books,
             [self.other],
-            Patience(rest_us=0),
+            HealthTimeouts(backoff_us=0),
             self.commit,
             self.send,
-            lambda peer: Need(100, 0, 100),
+            lambda peer: ResourceAmounts(100, 0, 100),
             lambda: self.world.now,
             lambda: self.world.now,
         )
@@ -68,9 +67,9 @@
 
     def crash(self):
         """Another controller takes the desk over."""
-        home, guest = self.desk.books.home, self.desk.books.guest
+        home, guest = self.desk.books.origin_records, self.desk.books.remote_records
         self.stamp += 1
-        books = Books(self.stamp, {self.other: Grant(100, 0, 100)}, 30 * S)
+        books = OffloadLedger(self.stamp, {self.other: Grant(100, 0, 100)}, 30 * S)
         books.load(home, guest)
         self.desk = self.open(books)
 
@@ -94,9 +93,11 @@
     async def finish(self):
         """The guest does all that it may."""
         books = self.b.desk.books
-        for (peer, job), book in list(books.guest.items()):
-            if book.loan.startable:
-                await self.b.desk.do(books.act_as_guest(peer, job, ho.done_at_guest(book.loan, 0)))
+        for (peer, job), book in list(books.remote_records.items()):
+            if book.offload.startable:
+                await self.b.desk.do(
+                    books.change_remote(peer, job, handoff.task_done_at_remote(book.offload, 0))
+                )
 
 
 def play(scenario, tmp_path):
@@ -109,26 +110,26 @@
 async def lend(world, *refs):
     for ref in refs:
         assert await world.a.desk.do(
-            world.a.desk.books.lend(ref, 1, NEED, Lend(ref, "nyarugenge", 1), 0, False)
+            world.a.desk.books.offer(ref, 1, NEED, PlannedOffer(ref, "nyarugenge", 1), 0, False)
         )
 
 
 def states(world):
-    return {j: b.loan.state for j, b in world.a.desk.books.home.items()}
+    return {j: b.offload.state for j, b in world.a.desk.books.origin_records.items()}
 
 
 def test_loans_go_over_the_link_and_come_to_one_answer(tmp_path):
     async def scenario(world):
         await world.steps(4)
-        assert world.a.desk.peers["nyarugenge"].state == world.b.desk.peers["huye"].state == pe.UP
+        assert world.a.desk.peers["nyarugenge"].state == world.b.desk.peers["huye"].state == peer_health.UP
         await lend(world, "req-1", "req-2")
         await world.steps(1)
-        assert set(states(world).values()) == {ho.GRANTED}
-        assert [b.loan.state for b in world.b.desk.books.guest.values()] == [ho.HOLDING] * 2
+        assert set(states(world).values()) == {handoff.GRANTED}
+        assert [b.offload.state for b in world.b.desk.books.remote_records.values()] == [handoff.HOLDING] * 2
         await world.finish()
         await world.steps(2)
-        assert all(b.loan.answer == "done" for b in world.a.desk.books.home.values())
-        assert all(b.loan.state == ho.NONE for b in world.b.desk.books.guest.values())
+        assert all(b.offload.final_state == "done" for b in world.a.desk.books.origin_records.values())
+        assert all(b.offload.state == handoff.NO_OFFLOAD for b in world.b.desk.books.remote_records.values())
         # Three records written at home for each loan, four at the guest.
         assert (world.a.commits, world.b.commits) == (6, 8)
 
@@ -143,19 +144,24 @@
         world.a.cut = True
         await world.finish()
         await world.steps(17)
-        assert world.a.desk.peers["nyarugenge"].state == pe.CUT
+        assert world.a.desk.peers["nyarugenge"].state == peer_health.UNREACHABLE
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
         books = world.a.desk.books
-        await world.a.desk.do(books.act("req-3", ho.cancel(books.home["req-3"].loan)))
-        assert states(world)["req-3"] == ho.RECALLING and not books.home["req-3"].loan.answer
+        await world.a.desk.do(
+            books.change_origin("req-3", handoff.cancel(books.origin_records["req-3"].offload))
+        )
+        assert (
+            states(world)["req-3"] == handoff.RECALLING
+            and not books.origin_records["req-3"].offload.final_state
+        )
         world.a.crash()
         world.b.crash()
         world.a.cut = False
         await world.steps(6)
-        home = world.a.desk.books.home
+        home = world.a.desk.books.origin_records
         # The guest had finished all of them before it heard of anything: that is the answer.
-        assert {b.loan.answer for b in home.values()} == {"done"}
-        assert world.a.desk.peers["nyarugenge"].state == pe.UP
+        assert {b.offload.final_state for b in home.values()} == {"done"}
+        assert world.a.desk.peers["nyarugenge"].state == peer_health.UP
 
     play(scenario, tmp_path)
 
@@ -169,21 +175,23 @@
         world.b.keys.issue()
         assert world.a.link.renew() and world.b.link.renew() and not world.b.link.renew()
         await world.steps(1)
-        assert states(world)["req-1"] == ho.GRANTED
+        assert states(world)["req-1"] == handoff.GRANTED
         world.a.keys.revoke(old.serial)
         new = [i for i in world.a.keys.show() if i.state == "current"]
         world.a.keys.revoke(new[0].serial)
         trust(world.b.keys, world.a.keys)
         await world.finish()
         refused = world.b.link.refused
-        heard = world.b.desk.peers["huye"].heard_us
+        heard = world.b.desk.peers["huye"].last_answer_us
         world.now += S
         await world.a.desk.step()
-        assert world.b.link.refused > refused and world.b.desk.peers["huye"].heard_us == heard
-        assert states(world)["req-1"] == ho.GRANTED  # nobody's word ends it, and nothing is started at home
+        assert world.b.link.refused > refused and world.b.desk.peers["huye"].last_answer_us == heard
+        assert (
+            states(world)["req-1"] == handoff.GRANTED
+        )  # nobody's word ends it, and nothing is started at home
         world.a.keys.issue()
         await world.steps(4)
-        assert world.a.desk.books.home["req-1"].loan.answer == "done"
+        assert world.a.desk.books.origin_records["req-1"].offload.final_state == "done"
 
     play(scenario, tmp_path)
 
@@ -198,18 +206,20 @@
         world.a.desk._commit = refuse
         books = world.a.desk.books
         assert not await world.a.desk.do(
-            books.lend("req-1", 1, NEED, Lend("req-1", "nyarugenge", 1), 0, False)
+            books.offer("req-1", 1, NEED, PlannedOffer("req-1", "nyarugenge", 1), 0, False)
         )
         await world.steps(2)
-        assert not books.home and not world.b.desk.books.guest
+        assert not books.origin_records and not world.b.desk.books.remote_records
 
     play(scenario, tmp_path)
 
 
-KINDS = st.sampled_from([ho.OFFER, ho.GRANT, ho.RESULT, "a later kind"])
+KINDS = st.sampled_from([handoff.OFFER, handoff.GRANT, handoff.RESULT, "a later kind"])
 ROWS = st.integers(0, 2**40)
 SAID = st.builds(
-    Said, st.text(max_size=10), st.builds(Message, KINDS, st.integers(0, 2**62), ROWS, ROWS, st.booleans())
+    JobMessage,
+    st.text(max_size=10),
+    st.builds(Message, KINDS, st.integers(0, 2**62), ROWS, ROWS, st.booleans()),
 )
 
 
