--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -11,7 +11,7 @@
 
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import peer_health
-from pearstep.federation.desk import Desk
+from pearstep.federation.coordinator import Desk
 from pearstep.federation.ledger import OriginRecord
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.transport.http import Answer
--- a/pearstep/federation/place.py
+++ b/pearstep/federation/place.py
@@ -29,7 +29,7 @@
     waiting_with_estimates,
 )
 from pearstep.federation.carrying import Carrying
-from pearstep.federation.desk import Desk
+from pearstep.federation.coordinator import Desk
 from pearstep.federation.keys import Keys
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -10,7 +10,7 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import carrying, handoff, keys, link, operator_api, writes
 from pearstep.federation.carrying import Carrying
-from pearstep.federation.desk import Desk
+from pearstep.federation.coordinator import Desk
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -11,7 +11,7 @@
 
 from pearstep.emulator.cloud import free_port
 from pearstep.federation import handoff, peer_health
-from pearstep.federation.desk import Desk
+from pearstep.federation.coordinator import Desk
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
