--- a/pearstep/cli/node.py
+++ b/pearstep/cli/node.py
@@ -114,8 +114,8 @@
     """Load the federation, if it is configured; a controller without it imports nothing of it."""
     if not file:
         return None
+    from pearstep.federation.extension import Federation
     from pearstep.federation.keys import SiteKeyError
-    from pearstep.federation.place import Federation
     from pearstep.federation.settings import FederationError
     from pearstep.federation.settings import load as load_federation
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -572,7 +572,7 @@
 
 
 def test_a_cancellation_is_told_to_wait_while_a_peer_has_the_job():
-    from pearstep.federation.place import Federation
+    from pearstep.federation.extension import Federation
 
     one = Cluster()
     job = one.job(kind="array", tasks=2)
