--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -28,7 +28,6 @@
     waiting_jobs,
     waiting_with_estimates,
 )
-from pearstep.federation.carrying import Carrying
 from pearstep.federation.coordinator import Desk
 from pearstep.federation.keys import Keys
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
@@ -37,6 +36,7 @@
 from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
 from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
+from pearstep.federation.transfers import Carrying
 from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.state.job import Job
 from pearstep.transport.background_tasks import BackgroundTasks
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -9,11 +9,11 @@
 from pearstep.archive.frames import pack
 from pearstep.archive.records import Append, Chunk, Key, Seal
 from pearstep.federation import handoff
-from pearstep.federation.carrying import LINGER_US, Carrying
 from pearstep.federation.handoff import OriginOffload
 from pearstep.federation.ledger import OriginRecord, ResourceAmounts
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
+from pearstep.federation.transfers import LINGER_US, Carrying
 from pearstep.federation.writes import local_ref, team_of
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -8,8 +8,7 @@
 from prometheus_client import generate_latest
 
 from pearstep.domain.job_spec import JobSpec
-from pearstep.federation import carrying, handoff, keys, link, operator_api, writes
-from pearstep.federation.carrying import Carrying
+from pearstep.federation import handoff, keys, link, operator_api, transfers, writes
 from pearstep.federation.coordinator import Desk
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
@@ -17,6 +16,7 @@
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.operator_api import FederationMetrics
 from pearstep.federation.peer_health import HealthTimeouts
+from pearstep.federation.transfers import Carrying
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
@@ -90,10 +90,10 @@
         "loans": link.LOANS,
         "facts": operator_api.STATUS_PATH,
         "metrics": operator_api.METRICS_PATH,
-        "description": carrying.DESCRIPTION,
-        "attempts": carrying.ATTEMPTS,
-        "read": carrying.READ,
-        "file": carrying.FILE,
+        "description": transfers.DESCRIPTION,
+        "attempts": transfers.ATTEMPTS,
+        "read": transfers.READ,
+        "file": transfers.FILE,
     }
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,11 +19,11 @@
     offloads_to_return,
     waiting_with_estimates,
 )
-from pearstep.federation.carrying import home_key, pieces
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.settings import FederationError, load
+from pearstep.federation.transfers import home_key, pieces
 from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.jobs.description import home_name
 from pearstep.leader.route_planner import RoutePlanner
