--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -14,7 +14,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_selection import Grant, WaitingJob, capacity_to_offer
-from pearstep.federation.writes import borrowed
+from pearstep.federation.offload_transactions import borrowed
 from pearstep.leader.cluster_snapshot import ClusterSnapshot
 from pearstep.leader.route_planner import RoutePlanner
 from pearstep.scheduling.placement import reserve_earliest
--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -34,10 +34,10 @@
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
+from pearstep.federation.offload_transactions import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.transfers import Carrying
-from pearstep.federation.writes import borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.state.job import Job
 from pearstep.transport.background_tasks import BackgroundTasks
 from pearstep.transport.clock import now_us, wall_us
--- a/pearstep/federation/transfers.py
+++ b/pearstep/federation/transfers.py
@@ -25,7 +25,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
-from pearstep.federation.writes import belongs, local_ref, team_of
+from pearstep.federation.offload_transactions import belongs, local_ref, team_of
 from pearstep.jobs.description import DescriptionError, decode, encode
 from pearstep.state.replica import Replica
 from pearstep.transport import clock as clocks
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -13,8 +13,8 @@
 from pearstep.federation.ledger import OriginRecord, ResourceAmounts
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
+from pearstep.federation.offload_transactions import local_ref, team_of
 from pearstep.federation.transfers import LINGER_US, Carrying
-from pearstep.federation.writes import local_ref, team_of
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
 from pearstep.state.records import JobRecord
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -8,7 +8,7 @@
 from prometheus_client import generate_latest
 
 from pearstep.domain.job_spec import JobSpec
-from pearstep.federation import handoff, keys, link, operator_api, transfers, writes
+from pearstep.federation import handoff, keys, link, offload_transactions, operator_api, transfers
 from pearstep.federation.coordinator import Desk
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
@@ -84,8 +84,8 @@
 
 def test_names_are_as_recorded():
     assert files.table("federation/names.json") == {
-        "borrowed job": writes.local_ref("south", "req-7", 4_294_967_297),
-        "team": writes.team_of("south"),
+        "borrowed job": offload_transactions.local_ref("south", "req-7", 4_294_967_297),
+        "team": offload_transactions.team_of("south"),
         "certificate": keys.server_name("south"),
         "loans": link.LOANS,
         "facts": operator_api.STATUS_PATH,
@@ -101,7 +101,7 @@
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
     offload = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
     remote_record = RemoteRecord(offload, ResourceAmounts(), 0, spec)
-    record = writes.borrowed_rec(
+    record = offload_transactions.borrowed_rec(
         "south", "req-7", remote_record, 1_700_000_000_000_001, 1_700_000_060_000_000
     )
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -22,9 +22,15 @@
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, OriginRecord, RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.federation.offload_selection import Grant, PlannedOffer
+from pearstep.federation.offload_transactions import (
+    belongs,
+    borrowed_rec,
+    guest_writes,
+    home_writes,
+    local_ref,
+)
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.transfers import home_key, pieces
-from pearstep.federation.writes import belongs, borrowed_rec, guest_writes, home_writes, local_ref
 from pearstep.jobs.description import home_name
 from pearstep.leader.route_planner import RoutePlanner
 from pearstep.state.job import Job
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,8 +20,8 @@
 )
 from pearstep.federation.link import Envelope, decode, encode
 from pearstep.federation.offload_selection import Grant, PlannedOffer
+from pearstep.federation.offload_transactions import borrowed_rec, guest_writes, local_ref
 from pearstep.federation.terms import Term
-from pearstep.federation.writes import borrowed_rec, guest_writes, local_ref
 from pearstep.state.records import JobRecord
 from tests.test_lending import Cluster
 from tests.world import World, spec
