--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -28,7 +28,7 @@
     waiting_jobs,
     waiting_with_estimates,
 )
-from pearstep.federation.coordinator import Desk
+from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.keys import Keys
 from pearstep.federation.ledger import LedgerEntry, OffloadLedger, RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
@@ -72,7 +72,7 @@
             int(p.gone_s * SECOND_US),
             backoff_us=int(p.rest_s * SECOND_US),
         )
-        self.desk: Desk | None = None
+        self.desk: Coordinator | None = None
         self.seen = CapacityEstimate()
         self._chief: Leadership | None = None
         self._lent_us = -(1 << 60)
@@ -97,11 +97,11 @@
 
     def _changed(self, key: str) -> None:
         if self.desk is not None and key[:2] in ("l/", "g/"):
-            self.desk.books.record_changed(key)
+            self.desk.ledger.record_changed(key)
 
     # -- the desk, while this node leads ---------------------------------------------------------
 
-    def _keep_desk(self) -> Desk | None:
+    def _keep_desk(self) -> Coordinator | None:
         """The desk of the present leadership; None while this node must not act."""
         chief = self.node.leases.leadership
         if chief is None or not chief.is_current():
@@ -123,7 +123,7 @@
             )
             self._chief = chief
             self._offered.clear()
-            self.desk = Desk(
+            self.desk = Coordinator(
                 self.site,
                 books,
                 [],
@@ -133,7 +133,7 @@
                 self._free,
                 now_us,
                 wall_us,
-                offer=self._offer,
+                capacity_offer=self._offer,
             )
             log.info(
                 "keeping the desk: %d loans open as home, %d as guest",
@@ -160,7 +160,7 @@
                 peer.drain()
             elif not rec.drained and peer.state == peer_health.DRAINED:
                 peer.resume()
-            desk.books.grants[name] = rec.grant if not rec.drained else Grant()
+            desk.ledger.grants[name] = rec.grant if not rec.drained else Grant()
 
     async def _commit(self, entry: LedgerEntry) -> bool:
         """Write an entry together with what it means for its job."""
@@ -173,7 +173,7 @@
         else:
             peer, _, ref = rest.partition("/")
             assert self.desk is not None and isinstance(entry.after, RemoteRecord)
-            until = self.desk.books.run_until_us(entry.after)
+            until = self.desk.ledger.run_until_us(entry.after)
             writes = guest_writes(self.view, peer, ref, entry, wall_us(), until)
         return writes is not None and await chief.commit(*writes) == CommitOutcome.COMMITTED
 
@@ -195,30 +195,30 @@
         await desk.step()
         self.facts.update(desk, self.loans, self.link.refused)
 
-    async def _tend_home(self, desk: Desk) -> None:
+    async def _tend_home(self, desk: Coordinator) -> None:
         now = now_us()
         for ref in list(self.loans.open_origin):
             book, job = self.loans.origin_records[ref], self.view.jobs.get(ref)
             rec = self.loans.peers.get(book.peer)
             since = self._offered.setdefault(ref, now) if book.offload.state == handoff.OFFERED else now
             if rec is None or rec.forgotten:
-                entry = desk.books.change_origin(ref, handoff.force_end(book.offload))
+                entry = desk.ledger.change_origin(ref, handoff.force_end(book.offload))
                 if entry is not None:
                     why = rec.forgotten if rec is not None else "the peer was removed"
                     entry.after = msgspec.structs.replace(entry.after, forced=why)
                     log.warning("loan of %s to %s ended by an operator's word: %s", ref, book.peer, why)
-                    await desk.do(entry)
-            elif desk.books.term_has_ended(book, wall_us()):
+                    await desk.apply(entry)
+            elif desk.ledger.term_has_ended(book, wall_us()):
                 log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.do(desk.books.change_origin(ref, handoff.take_back_after_term(book.offload)))
+                await desk.apply(desk.ledger.change_origin(ref, handoff.take_back_after_term(book.offload)))
             elif book.offload.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
-                await desk.do(desk.books.change_origin(ref, handoff.withdraw(book.offload)))
+                await desk.apply(desk.ledger.change_origin(ref, handoff.withdraw(book.offload)))
         for ref in [r for r in self._offered if r not in self.loans.open_origin]:
             del self._offered[ref]
 
-    async def _tend_guest(self, desk: Desk) -> None:
+    async def _tend_guest(self, desk: Coordinator) -> None:
         """What is borrowed: begin it, notice its end, give back what must go."""
         rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
         for peer, ref in list(self.loans.open_remote):
@@ -239,7 +239,9 @@
             ):
                 await self._ended(desk, peer, ref, book, job)
             elif book.offload.state == handoff.STOPPING and job is None:
-                await desk.do(desk.books.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload)))
+                await desk.apply(
+                    desk.ledger.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload))
+                )
             if book.term_us and book.offload.state == handoff.HOLDING:
                 await self._keep_term(desk, peer, ref, book)
         for loan in [n for n in self._renewing if n not in self.loans.open_remote]:
@@ -251,28 +253,28 @@
             log.info("giving %s back to %s", ref, peer)
             await self._give_back(desk, peer, ref)
 
-    async def _give_back(self, desk: Desk, peer: str, ref: str) -> None:
+    async def _give_back(self, desk: Coordinator, peer: str, ref: str) -> None:
         """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.books.change_remote(
+        entry = desk.ledger.change_remote(
             peer, ref, (handoff.begin_return(self.loans.remote_records[peer, ref].offload), [])
         )
         if entry is not None:
             entry.graceful = True
-            await desk.do(entry)
+            await desk.apply(entry)
 
-    async def _keep_term(self, desk: Desk, peer: str, ref: str, book: RemoteRecord) -> None:
+    async def _keep_term(self, desk: Coordinator, peer: str, ref: str, book: RemoteRecord) -> None:
         """Ask for more time once half of the term is over, and give the job back at its end.
 
         The shard owners stop running tasks by themselves then; this only reports it to the home site.
         """
-        if wall_us() >= desk.books.run_until_us(book):
+        if wall_us() >= desk.ledger.run_until_us(book):
             log.info("the term of %s from %s is over here", ref, peer)
             await self._give_back(desk, peer, ref)
         elif now_us() - self._renewing.get((peer, ref), -(1 << 60)) >= SECOND_US:
-            said = desk.books.renewal_request(peer, ref, wall_us())
+            said = desk.ledger.renewal_request(peer, ref, wall_us())
             if said is not None:
                 self._renewing[peer, ref] = now_us()
-                desk.say(peer, said)
+                desk.queue_message(peer, said)
 
     async def _begin(self, peer: str, ref: str) -> None:
         """Bring what the job runs, then let it be a job here."""
@@ -281,7 +283,7 @@
             if book is None or chief is None:
                 return
             desk = self.desk
-            until = desk.books.run_until_us(book) if desk is not None else 0
+            until = desk.ledger.run_until_us(book) if desk is not None else 0
             rec = borrowed_rec(peer, ref, book, wall_us(), until)
             if rec is None or not await self.carrying.fetch_description(peer, ref, rec.spec.job_id):
                 return
@@ -292,14 +294,14 @@
         finally:
             self._starting.discard((peer, ref))
 
-    async def _ended(self, desk: Desk, peer: str, ref: str, book: RemoteRecord, job: Job) -> None:
+    async def _ended(self, desk: Coordinator, peer: str, ref: str, book: RemoteRecord, job: Job) -> None:
         """The borrowed job is over: once nothing of it is anywhere, home is told."""
         if job.placed_tasks:
             return
         loan, says = book.offload, list[handoff.Message]()
         if loan.state == handoff.HOLDING and job.state != JobState.DONE:
             # Somebody here has cancelled it.
-            await desk.do(desk.books.change_remote(peer, ref, (handoff.begin_return(loan), [])))
+            await desk.apply(desk.ledger.change_remote(peer, ref, (handoff.begin_return(loan), [])))
             return
         done = loan.task_mask if job.state == JobState.DONE else job.done_tasks & loan.task_mask
         for task in range(job.spec.tasks):
@@ -307,7 +309,7 @@
                 loan, says = handoff.task_done_at_remote(loan, task)
         if loan.state == handoff.STOPPING:
             loan, says = handoff.all_tasks_stopped(loan)
-        await desk.do(desk.books.change_remote(peer, ref, (loan, says)))
+        await desk.apply(desk.ledger.change_remote(peer, ref, (loan, says)))
 
     # -- lending ---------------------------------------------------------------------------------
 
@@ -345,7 +347,7 @@
             job = self.view.jobs[lend.ref]
             spec = job.spec
             term_us = int(s.leaving.terms_s.get(spec.job_class, 0.0) * SECOND_US)
-            entry = desk.books.offer(
+            entry = desk.ledger.offer(
                 lend.ref,
                 spec.tasks,
                 ResourceAmounts(spec.cpus, spec.gpus, spec.memory_gb),
@@ -358,9 +360,9 @@
             if entry is not None:
                 log.info("offering %d tasks of %s to %s", lend.task_count, lend.ref, lend.peer)
                 entries.append(entry)
-        await asyncio.gather(*(desk.do(entry) for entry in entries))
+        await asyncio.gather(*(desk.apply(entry) for entry in entries))
 
-    def _rooms(self, desk: Desk, now: int) -> list[PeerCapacity]:
+    def _rooms(self, desk: Coordinator, now: int) -> list[PeerCapacity]:
         out = []
         under_way: dict[str, int] = {}
         for ref in self.loans.open_origin:
@@ -385,7 +387,7 @@
                     offer.gpus,
                     offer.memory_gb,
                     offer.start_us,
-                    desk.link_us.get(name, 0),
+                    desk.link_delay_us.get(name, 0),
                     rec.price * offer.price,
                     under_way.get(name, 0),
                 )
@@ -413,14 +415,14 @@
         if rec is None or desk is None:
             return (0.0, 0.0, 0.0)
         return capacity_for_peer(
-            rec.grant, self.seen, desk.books.used(peer), desk.books.reserved(), rec.drained
+            rec.grant, self.seen, desk.ledger.used(peer), desk.ledger.reserved(), rec.drained
         )
 
     def _free(self, peer: str) -> ResourceAmounts:
         """What the books may reserve for a peer; they subtract themselves what is reserved already."""
         desk = self.desk
         assert desk is not None
-        return to_resource_amounts(add_amounts(self._amounts(peer), desk.books.reserved()))
+        return to_resource_amounts(add_amounts(self._amounts(peer), desk.ledger.reserved()))
 
     def _offer(self, peer: str) -> Offer | None:
         amounts = self._amounts(peer)
@@ -461,7 +463,7 @@
         desk = self._keep_desk()
         if desk is None or peer not in desk.peers:
             raise NotCoordinatorError
-        return await desk.hear(peer, envelope)
+        return await desk.receive(peer, envelope)
 
     async def _serve(self, peer: str, request: HTTPServerRequest) -> Answer:
         return await self.carrying.serve(peer, request)
--- a/pearstep/federation/operator_api.py
+++ b/pearstep/federation/operator_api.py
@@ -11,7 +11,7 @@
 
 from pearstep.domain.task_set import format_task_ranges
 from pearstep.federation import peer_health
-from pearstep.federation.coordinator import Desk
+from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.ledger import OriginRecord
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.transport.http import Answer
@@ -47,17 +47,19 @@
         self.offered_cpus = gauge("offered_cpus", "CPUs that the peer offers.", "peer")
         self.refused = gauge("refused", "Requests on the link that were refused since the start.")
 
-    def update(self, desk: Desk, records: OffloadRecords, refused: int) -> None:
+    def update(self, coordinator: Coordinator, records: OffloadRecords, refused: int) -> None:
         """Set the metrics to the current state."""
         count_to_peer = Counter(records.origin_records[ref].peer for ref in records.open_origin)
         count_from_peer = Counter(peer for peer, _ in records.open_remote)
-        for name, peer in desk.peers.items():
+        for name, peer in coordinator.peers.items():
             self.peer_up.labels(name).set(peer.state == peer_health.UP)
             for state in PEER_STATES:
                 self.peer_state.labels(name, state).set(peer.state == state)
             self.offloads_to_peer.labels(name).set(count_to_peer[name])
             self.offloads_from_peer.labels(name).set(count_from_peer[name])
-            self.offered_cpus.labels(name).set(desk.offers[name][0].cpus if name in desk.offers else 0)
+            self.offered_cpus.labels(name).set(
+                coordinator.offers[name][0].cpus if name in coordinator.offers else 0
+            )
         self.refused.set(refused)
 
 
@@ -82,7 +84,7 @@
 def answer_request(
     request: HTTPServerRequest,
     base_fields: dict[str, Any],
-    desk: Desk | None,
+    coordinator: Coordinator | None,
     records: OffloadRecords,
     metrics: FederationMetrics,
 ) -> Answer | None:
@@ -101,8 +103,8 @@
         )
     peers = []
     for name, peer_record in sorted(records.peers.items()):
-        peer = desk.peers.get(name) if desk else None
-        offer = desk.offers.get(name) if desk else None
+        peer = coordinator.peers.get(name) if coordinator else None
+        offer = coordinator.offers.get(name) if coordinator else None
         peers.append(
             {
                 "name": name,
@@ -133,6 +135,8 @@
         )
     return (
         200,
-        msgspec.json.encode({**base_fields, "leads": desk is not None, "peers": peers, "loans": offloads}),
+        msgspec.json.encode(
+            {**base_fields, "leads": coordinator is not None, "peers": peers, "loans": offloads}
+        ),
         {},
     )
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -9,7 +9,7 @@
 
 from pearstep.domain.job_spec import JobSpec
 from pearstep.federation import handoff, keys, link, offload_transactions, operator_api, transfers
-from pearstep.federation.coordinator import Desk
+from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
@@ -126,8 +126,10 @@
     return out
 
 
-def make_desk():
-    out = Desk("here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0)
+def make_coordinator():
+    out = Coordinator(
+        "here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0
+    )
     out.offers["north"] = (Offer(32.0, 2.0, 128.5, 5_000_000, 1.5), 0)
     return out
 
@@ -145,14 +147,14 @@
     ref, leads = STATUS_CASES[name]
     request = SimpleNamespace(path=operator_api.STATUS_PATH, arguments={"ref": [ref.encode()]})
     status, body, _ = operator_api.answer_request(
-        request, {"site": "here"}, make_desk() if leads else None, make_records(), None
+        request, {"site": "here"}, make_coordinator() if leads else None, make_records(), None
     )
     assert (status, body) == (200, files.read(f"federation/{name}.json"))
 
 
 def test_names_of_metrics_are_as_recorded():
     metrics = FederationMetrics()
-    metrics.update(make_desk(), make_records(), 3)
+    metrics.update(make_coordinator(), make_records(), 3)
     names = sorted(
         line.split(" ")[0]
         for line in generate_latest(metrics.registry).decode().splitlines()
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -11,7 +11,7 @@
 
 from pearstep.emulator.cloud import free_port
 from pearstep.federation import handoff, peer_health
-from pearstep.federation.coordinator import Desk
+from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
 from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
@@ -38,10 +38,10 @@
         host, _, port = addrs[name].rpartition(":")
         self.link.listen(host, int(port))
         self.stamp = 3
-        self.desk = self.open(OffloadLedger(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
+        self.coordinator = self.open(OffloadLedger(self.stamp, {other: Grant(100, 0, 100)}, 30 * S))
 
     def open(self, books):
-        return Desk(
+        return Coordinator(
             self.name,
             books,
             [self.other],
@@ -56,7 +56,7 @@
     async def hear(self, peer, envelope):
         if self.cut:
             raise ConnectionError("cut")
-        return await self.desk.hear(peer, envelope)
+        return await self.coordinator.receive(peer, envelope)
 
     async def send(self, peer, envelope):
         return None if self.cut else await self.link.send(peer, envelope)
@@ -67,11 +67,11 @@
 
     def crash(self):
         """Another controller takes the desk over."""
-        home, guest = self.desk.books.origin_records, self.desk.books.remote_records
+        home, guest = self.coordinator.ledger.origin_records, self.coordinator.ledger.remote_records
         self.stamp += 1
         books = OffloadLedger(self.stamp, {self.other: Grant(100, 0, 100)}, 30 * S)
         books.load(home, guest)
-        self.desk = self.open(books)
+        self.coordinator = self.open(books)
 
 
 class World:
@@ -88,14 +88,14 @@
         for _ in range(count):
             self.now += S
             for cluster in (self.a, self.b):
-                await cluster.desk.step()
+                await cluster.coordinator.step()
 
     async def finish(self):
         """The guest does all that it may."""
-        books = self.b.desk.books
+        books = self.b.coordinator.ledger
         for (peer, job), book in list(books.remote_records.items()):
             if book.offload.startable:
-                await self.b.desk.do(
+                await self.b.coordinator.apply(
                     books.change_remote(peer, job, handoff.task_done_at_remote(book.offload, 0))
                 )
 
@@ -109,27 +109,37 @@
 
 async def lend(world, *refs):
     for ref in refs:
-        assert await world.a.desk.do(
-            world.a.desk.books.offer(ref, 1, NEED, PlannedOffer(ref, "nyarugenge", 1), 0, False)
+        assert await world.a.coordinator.apply(
+            world.a.coordinator.ledger.offer(ref, 1, NEED, PlannedOffer(ref, "nyarugenge", 1), 0, False)
         )
 
 
 def states(world):
-    return {j: b.offload.state for j, b in world.a.desk.books.origin_records.items()}
+    return {j: b.offload.state for j, b in world.a.coordinator.ledger.origin_records.items()}
 
 
 def test_loans_go_over_the_link_and_come_to_one_answer(tmp_path):
     async def scenario(world):
         await world.steps(4)
-        assert world.a.desk.peers["nyarugenge"].state == world.b.desk.peers["huye"].state == peer_health.UP
+        assert (
+            world.a.coordinator.peers["nyarugenge"].state
+            == world.b.coordinator.peers["huye"].state
+            == peer_health.UP
+        )
         await lend(world, "req-1", "req-2")
         await world.steps(1)
         assert set(states(world).values()) == {handoff.GRANTED}
-        assert [b.offload.state for b in world.b.desk.books.remote_records.values()] == [handoff.HOLDING] * 2
+        assert [b.offload.state for b in world.b.coordinator.ledger.remote_records.values()] == [
+            handoff.HOLDING
+        ] * 2
         await world.finish()
         await world.steps(2)
-        assert all(b.offload.final_state == "done" for b in world.a.desk.books.origin_records.values())
-        assert all(b.offload.state == handoff.NO_OFFLOAD for b in world.b.desk.books.remote_records.values())
+        assert all(
+            b.offload.final_state == "done" for b in world.a.coordinator.ledger.origin_records.values()
+        )
+        assert all(
+            b.offload.state == handoff.NO_OFFLOAD for b in world.b.coordinator.ledger.remote_records.values()
+        )
         # Three records written at home for each loan, four at the guest.
         assert (world.a.commits, world.b.commits) == (6, 8)
 
@@ -144,10 +154,10 @@
         world.a.cut = True
         await world.finish()
         await world.steps(17)
-        assert world.a.desk.peers["nyarugenge"].state == peer_health.UNREACHABLE
+        assert world.a.coordinator.peers["nyarugenge"].state == peer_health.UNREACHABLE
         # Its user cancels one meanwhile: that is not settled before the guest has answered.
-        books = world.a.desk.books
-        await world.a.desk.do(
+        books = world.a.coordinator.ledger
+        await world.a.coordinator.apply(
             books.change_origin("req-3", handoff.cancel(books.origin_records["req-3"].offload))
         )
         assert (
@@ -158,10 +168,10 @@
         world.b.crash()
         world.a.cut = False
         await world.steps(6)
-        home = world.a.desk.books.origin_records
+        home = world.a.coordinator.ledger.origin_records
         # The guest had finished all of them before it heard of anything: that is the answer.
         assert {b.offload.final_state for b in home.values()} == {"done"}
-        assert world.a.desk.peers["nyarugenge"].state == peer_health.UP
+        assert world.a.coordinator.peers["nyarugenge"].state == peer_health.UP
 
     play(scenario, tmp_path)
 
@@ -182,16 +192,16 @@
         trust(world.b.keys, world.a.keys)
         await world.finish()
         refused = world.b.link.refused
-        heard = world.b.desk.peers["huye"].last_answer_us
+        heard = world.b.coordinator.peers["huye"].last_answer_us
         world.now += S
-        await world.a.desk.step()
-        assert world.b.link.refused > refused and world.b.desk.peers["huye"].last_answer_us == heard
+        await world.a.coordinator.step()
+        assert world.b.link.refused > refused and world.b.coordinator.peers["huye"].last_answer_us == heard
         assert (
             states(world)["req-1"] == handoff.GRANTED
         )  # nobody's word ends it, and nothing is started at home
         world.a.keys.issue()
         await world.steps(4)
-        assert world.a.desk.books.origin_records["req-1"].offload.final_state == "done"
+        assert world.a.coordinator.ledger.origin_records["req-1"].offload.final_state == "done"
 
     play(scenario, tmp_path)
 
@@ -203,13 +213,13 @@
         async def refuse(entry):
             return False
 
-        world.a.desk._commit = refuse
-        books = world.a.desk.books
-        assert not await world.a.desk.do(
+        world.a.coordinator._commit = refuse
+        books = world.a.coordinator.ledger
+        assert not await world.a.coordinator.apply(
             books.offer("req-1", 1, NEED, PlannedOffer("req-1", "nyarugenge", 1), 0, False)
         )
         await world.steps(2)
-        assert not books.origin_records and not world.b.desk.books.remote_records
+        assert not books.origin_records and not world.b.coordinator.ledger.remote_records
 
     play(scenario, tmp_path)
 
