--- a/pearstep/federation/capacity_estimate.py
+++ b/pearstep/federation/capacity_estimate.py
@@ -14,7 +14,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.offload_selection import Grant, WaitingJob, capacity_to_offer
-from pearstep.federation.offload_transactions import borrowed
+from pearstep.federation.offload_transactions import is_peer_job
 from pearstep.leader.cluster_snapshot import ClusterSnapshot
 from pearstep.leader.route_planner import RoutePlanner
 from pearstep.scheduling.placement import reserve_earliest
@@ -78,7 +78,7 @@
     cpus, gpus, memory_gb = capacity.free
     capacity.free = (max(cpus, 0.0), max(gpus, 0.0), max(memory_gb, 0.0))
     for job, count in waiting_jobs(leader):
-        if borrowed(job.spec):
+        if is_peer_job(job.spec):
             capacity.peer_demand = add_amounts(capacity.peer_demand, task_amounts(job), count)
         else:
             capacity.own_demand = add_amounts(capacity.own_demand, task_amounts(job), count)
@@ -162,7 +162,7 @@
                     max(objective_us - waited_us, 0),
                     spec.kind == "gang",
                     is_queue_head,
-                    borrowed(spec),
+                    is_peer_job(spec),
                     returned.get(spec.job_id, 0),
                 )
             )
--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -34,7 +34,12 @@
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.offload_selection import Grant, PeerCapacity, choose_offers
-from pearstep.federation.offload_transactions import borrowed_rec, guest_writes, home_writes, local_ref
+from pearstep.federation.offload_transactions import (
+    local_job_id,
+    origin_transaction,
+    remote_job_record,
+    remote_transaction,
+)
 from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
 from pearstep.federation.transfers import Carrying
@@ -169,12 +174,12 @@
             return False
         kind, _, rest = entry.key.partition("/")
         if kind == "l":
-            writes = home_writes(self.view, rest, entry, wall_us())
+            writes = origin_transaction(self.view, rest, entry, wall_us())
         else:
             peer, _, ref = rest.partition("/")
             assert self.desk is not None and isinstance(entry.after, RemoteRecord)
             until = self.desk.ledger.run_until_us(entry.after)
-            writes = guest_writes(self.view, peer, ref, entry, wall_us(), until)
+            writes = remote_transaction(self.view, peer, ref, entry, wall_us(), until)
         return writes is not None and await chief.commit(*writes) == CommitOutcome.COMMITTED
 
     async def step(self) -> None:
@@ -223,7 +228,7 @@
         rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
         for peer, ref in list(self.loans.open_remote):
             book = self.loans.remote_records[peer, ref]
-            job = self.view.jobs.get(local_ref(peer, ref, book.offload.number))
+            job = self.view.jobs.get(local_job_id(peer, ref, book.offload.number))
             rows.append(((peer, ref), book, job))
             if book.offload.state == handoff.HOLDING and job is None:
                 if (peer, ref) not in self._starting:
@@ -284,7 +289,7 @@
                 return
             desk = self.desk
             until = desk.ledger.run_until_us(book) if desk is not None else 0
-            rec = borrowed_rec(peer, ref, book, wall_us(), until)
+            rec = remote_job_record(peer, ref, book, wall_us(), until)
             if rec is None or not await self.carrying.fetch_description(peer, ref, rec.spec.job_id):
                 return
             # Only while the loan is held: stopping it writes the same record.
--- a/pearstep/federation/transfers.py
+++ b/pearstep/federation/transfers.py
@@ -25,7 +25,7 @@
 from pearstep.federation import handoff
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
-from pearstep.federation.offload_transactions import belongs, local_ref, team_of
+from pearstep.federation.offload_transactions import belongs_to_peer, local_job_id, team_of_peer
 from pearstep.jobs.description import DescriptionError, decode, encode
 from pearstep.state.replica import Replica
 from pearstep.transport import clock as clocks
@@ -98,11 +98,11 @@
             if request.path == ATTEMPTS:
                 if not REF.fullmatch(arg.get("ref", "")) or not arg.get("number", "").isdigit():
                     return 400, b'{"error":"ref and number are needed"}', {}
-                found = await self.archive.look(local_ref(peer, arg["ref"], int(arg["number"])))
+                found = await self.archive.look(local_job_id(peer, arg["ref"], int(arg["number"])))
                 return 200, msgspec.json.encode(found or Found([], True, [])), {}
             if request.path in (READ, FILE) and request.method == "POST":
                 key = msgspec.msgpack.decode(request.body, type=Key)
-                if not belongs(peer, key.job):
+                if not belongs_to_peer(peer, key.job):
                     return 403, b'{"error":"not a job of this peer"}', {}
                 if request.path == READ:
                     begin = int(arg.get("from", "0"))
@@ -160,7 +160,7 @@
         try:
             job = decode(await self._ask(peer, "GET", f"{DESCRIPTION}?ref={ref}"))
             # What it stores here counts for the peer.
-            body = encode(msgspec.structs.replace(job, team=team_of(peer)))
+            body = encode(msgspec.structs.replace(job, team=team_of_peer(peer)))
             status, data = await self.archive.ask("PUT", f"/v1/jobs/{local}", body)
         except (TransferError, ArchiveUnreachableError, DescriptionError) as err:
             log.info("description of %s not to be had: %s", ref, err)
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -13,7 +13,7 @@
 from pearstep.federation.ledger import OriginRecord, ResourceAmounts
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
-from pearstep.federation.offload_transactions import local_ref, team_of
+from pearstep.federation.offload_transactions import local_job_id, team_of_peer
 from pearstep.federation.transfers import LINGER_US, Carrying
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
@@ -25,7 +25,7 @@
 from tests.world import spec
 
 NUMBER = 7
-LOCAL = local_ref("huye", "req-1", NUMBER)
+LOCAL = local_job_id("huye", "req-1", NUMBER)
 
 
 class End:
@@ -83,7 +83,7 @@
     if hole:
         chunks.append(Chunk("stdout", len(data), hole, hole=True))
     seal = Seal(cause, 0, {"stdout": len(data) + hole}, 9) if end else None
-    item = Append(key, 1, team_of("huye"), "solve", 5, chunks, seal)
+    item = Append(key, 1, team_of_peer("huye"), "solve", 5, chunks, seal)
     addr = (await there.site.client.owners(key.job, key.task))[0]
     assert (await there.site.client.append(addr, [item]))[0].status == 200
 
@@ -174,7 +174,7 @@
         own = Description("solve", "office", Run(["x"]))
         assert (await there.site.client.ask("PUT", "/v1/jobs/req-9", encode(own)))[0] == 201
         await write(there, Key("req-9", 0, 1, "i-1", 1), b"secret", end=True)
-        other = local_ref("musanze", "req-1", NUMBER)
+        other = local_job_id("musanze", "req-1", NUMBER)
         await write(there, Key(other, 0, 1, "i-1", 2), b"secret", end=True)
 
         async def ask(method, path, key=None):
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -84,8 +84,8 @@
 
 def test_names_are_as_recorded():
     assert files.table("federation/names.json") == {
-        "borrowed job": offload_transactions.local_ref("south", "req-7", 4_294_967_297),
-        "team": offload_transactions.team_of("south"),
+        "borrowed job": offload_transactions.local_job_id("south", "req-7", 4_294_967_297),
+        "team": offload_transactions.team_of_peer("south"),
         "certificate": keys.server_name("south"),
         "loans": link.LOANS,
         "facts": operator_api.STATUS_PATH,
@@ -101,7 +101,7 @@
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
     offload = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
     remote_record = RemoteRecord(offload, ResourceAmounts(), 0, spec)
-    record = offload_transactions.borrowed_rec(
+    record = offload_transactions.remote_job_record(
         "south", "req-7", remote_record, 1_700_000_000_000_001, 1_700_000_060_000_000
     )
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -23,11 +23,11 @@
 from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.offload_transactions import (
-    belongs,
-    borrowed_rec,
-    guest_writes,
-    home_writes,
-    local_ref,
+    belongs_to_peer,
+    local_job_id,
+    origin_transaction,
+    remote_job_record,
+    remote_transaction,
 )
 from pearstep.federation.settings import FederationError, load
 from pearstep.federation.transfers import home_key, pieces
@@ -73,11 +73,11 @@
         assert self.write(({key: value}, {}))
 
     def home(self, entry):
-        return entry is not None and self.write(home_writes(self.view, entry.key[2:], entry, 9))
+        return entry is not None and self.write(origin_transaction(self.view, entry.key[2:], entry, 9))
 
     def guest(self, entry):
         _, peer, ref = entry.key.split("/")
-        return self.write(guest_writes(self.view, peer, ref, entry, 9))
+        return self.write(remote_transaction(self.view, peer, ref, entry, 9))
 
     def job(self, **fields):
         one = spec(job_id="req-1", **fields)
@@ -182,7 +182,7 @@
     there = Cluster()
     one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
     book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
-    rec = borrowed_rec("huye", "req-5", book, 50)
+    rec = remote_job_record("huye", "req-5", book, 50)
     there.put("j/" + rec.spec.job_id, rec)
     job = there.view.jobs["lent-huye-5-9"]
     assert job.spec.team == "peer:huye" and job.spec.priority == 3 and job.spec.deadline_us is None
@@ -197,7 +197,7 @@
     assert leader.ordered_jobs(0, 60) == [job]
     there.put("p/0/lent-huye-5-9/0", PlacementRecord({}, f"{0b011000:x}", 1))
     assert job.all_tasks_done
-    assert borrowed_rec("huye", "req-5", msgspec.structs.replace(book, spec=None), 0) is None
+    assert remote_job_record("huye", "req-5", msgspec.structs.replace(book, spec=None), 0) is None
 
 
 def test_stopping_a_loan_and_beginning_its_job_cannot_both_stand():
@@ -206,9 +206,9 @@
         there = Cluster()
         book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
         there.put("g/huye/req-5", book)
-        local = "j/" + local_ref("huye", "req-5", 9)
+        local = "j/" + local_job_id("huye", "req-5", 9)
         begin = (
-            {local: borrowed_rec("huye", "req-5", book, 5)},
+            {local: remote_job_record("huye", "req-5", book, 5)},
             {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
         )
         stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
@@ -220,10 +220,10 @@
             # Of our own accord it is stopped with time to save, and withdrawn once nothing of it runs.
             there = Cluster()
             there.put("g/huye/req-5", book)
-            there.put(local, borrowed_rec("huye", "req-5", book, 5))
+            there.put(local, remote_job_record("huye", "req-5", book, 5))
             stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
             stop.graceful = True
-            assert there.write(guest_writes(there.view, "huye", "req-5", stop, 50 * S))
+            assert there.write(remote_transaction(there.view, "huye", "req-5", stop, 50 * S))
             job = there.view.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
             held = there.loans.remote_records["huye", "req-5"].offload
@@ -376,10 +376,10 @@
 
 
 def test_names_of_what_is_lent():
-    local = local_ref("huye", "req-42", 7)
-    assert local == "lent-huye-42-7" and belongs("huye", local)
+    local = local_job_id("huye", "req-42", 7)
+    assert local == "lent-huye-42-7" and belongs_to_peer("huye", local)
     for peer in ("hu", "huye-42", "nyarugenge"):
-        assert not belongs(peer, local)
+        assert not belongs_to_peer(peer, local)
     attempt = {"task": 3, "attempt": 2, "machine": "i-7", "start": 4}
     assert home_key("nyarugenge", "req-1", attempt).machine == "nyarugenge.i-7"
 
@@ -447,7 +447,7 @@
         book = self.there.loans.remote_records.get(("huye", "req-1"))
         if book is None:
             return None, None, None
-        name = local_ref("huye", "req-1", book.offload.number)
+        name = local_job_id("huye", "req-1", book.offload.number)
         return book, name, self.there.view.jobs.get(name)
 
     def step(self, what):
@@ -482,7 +482,7 @@
                 if job.all_tasks_done and job.state == JobState.QUEUED:
                     self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.DONE, 2))
         elif what == "begin" and book is not None and there is None:
-            rec = borrowed_rec("huye", "req-1", book, 0)
+            rec = remote_job_record("huye", "req-1", book, 0)
             if rec is not None:
                 key = "g/huye/req-1"
                 self.there.write(({f"j/{name}": rec}, {key: self.there.view.version_of(key), f"j/{name}": 0}))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,7 +20,7 @@
 )
 from pearstep.federation.link import Envelope, decode, encode
 from pearstep.federation.offload_selection import Grant, PlannedOffer
-from pearstep.federation.offload_transactions import borrowed_rec, guest_writes, local_ref
+from pearstep.federation.offload_transactions import local_job_id, remote_job_record, remote_transaction
 from pearstep.federation.terms import Term
 from pearstep.state.records import JobRecord
 from tests.test_lending import Cluster
@@ -77,20 +77,22 @@
         RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), TASK_AMOUNTS, 100, job_spec, TERM_US
     )
     cluster.put("g/huye/req-5", record)
-    job_record = borrowed_rec("huye", "req-5", record, 100, 500)
-    assert job_record.run_until_us == 500 and borrowed_rec("huye", "req-5", record, 500, 500) is None
+    job_record = remote_job_record("huye", "req-5", record, 100, 500)
+    assert job_record.run_until_us == 500 and remote_job_record("huye", "req-5", record, 500, 500) is None
     cluster.put("j/lent-huye-5-9", job_record)
     after = msgspec.structs.replace(record, since_us=300)
     entry = LedgerEntry("g/huye/req-5", record, after, "huye", [])
-    assert cluster.write(guest_writes(cluster.view, "huye", "req-5", entry, 301, 700))
+    assert cluster.write(remote_transaction(cluster.view, "huye", "req-5", entry, 301, 700))
     job = cluster.view.jobs["lent-huye-5-9"]
     assert job.run_until_us == 700 and job.done_tasks == 0b1100 and not job.is_final
     # Of a stop and a concurrent renewal only one is committed.
     again = LedgerEntry("g/huye/req-5", after, msgspec.structs.replace(after, since_us=400), "huye", [])
-    late = guest_writes(cluster.view, "huye", "req-5", again, 401, 800)
+    late = remote_transaction(cluster.view, "huye", "req-5", again, 401, 800)
     returning = msgspec.structs.replace(after, offload=handoff.begin_return(after.offload))
     stop = LedgerEntry("g/huye/req-5", after, returning, "huye", [])
-    assert cluster.write(guest_writes(cluster.view, "huye", "req-5", stop, 402)) and not cluster.write(late)
+    assert cluster.write(remote_transaction(cluster.view, "huye", "req-5", stop, 402)) and not cluster.write(
+        late
+    )
     assert job.is_final and job.run_until_us == 700
 
 
@@ -324,7 +326,7 @@
     record = RemoteRecord(
         RemoteOffload(handoff.HOLDING, 7, 3, highest_number=7), TASK_AMOUNTS, 0, back.items[0].spec
     )
-    assert borrowed_rec("huye", "req-1", record, 0) is None
+    assert remote_job_record("huye", "req-1", record, 0) is None
     # A message of an unknown kind changes nothing.
     ledger = OffloadLedger(1, {}, 1)
     ledger.origin_records["req-1"] = OriginRecord(
@@ -332,4 +334,4 @@
     )
     if kind == "something later":
         assert ledger.receive("kigali", back.items[0], TASK_AMOUNTS, 0) == []
-    assert local_ref("huye", "req-1", 7) == "lent-huye-1-7"
+    assert local_job_id("huye", "req-1", 7) == "lent-huye-1-7"
