--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -1,7 +1,7 @@
 """Federation as an extension of a controller.
 
 It follows the stored records, runs the coordinator of offloads while this controller leads, offers waiting
-jobs to peers before a scheduling pass, and runs borrowed jobs like any others.
+jobs to peers before a scheduling pass, and runs jobs of peers like any others.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 )
 from pearstep.federation.operator_api import FederationMetrics, answer_request
 from pearstep.federation.settings import FederationSettings
-from pearstep.federation.transfers import Carrying
+from pearstep.federation.transfers import Transfers
 from pearstep.state.job import Job
 from pearstep.transport.background_tasks import BackgroundTasks
 from pearstep.transport.clock import now_us, wall_us
@@ -57,290 +57,317 @@
 
 log = logging.getLogger("pearstep.federation")
 
-# An offer of a peer that is older says nothing about now.
-FRESH_US = 5 * SECOND_US
+# An older offer of a peer no longer describes its capacity.
+MAX_OFFER_AGE_US = 5 * SECOND_US
 
 
 class Federation:
     """An extension of a controller (``node.extension``)."""
 
     def __init__(self, settings: FederationSettings) -> None:
-        """Federate one site with its peers, as its settings say."""
+        """Prepare the federation of one site with its peers."""
         self.settings = s = settings
         self.keys = Keys(s.keys)
         self.site = self.keys.site
         self.policy = s.leaving.policy()
         p = s.patience
-        self.patience = peer_health.HealthTimeouts(
+        self.timeouts = peer_health.HealthTimeouts(
             int(p.suspect_s * SECOND_US),
             int(p.cut_s * SECOND_US),
             int(p.gone_s * SECOND_US),
             backoff_us=int(p.rest_s * SECOND_US),
         )
-        self.desk: Coordinator | None = None
-        self.seen = CapacityEstimate()
-        self._chief: Leadership | None = None
-        self._lent_us = -(1 << 60)
-        self._offered: dict[str, int] = {}
+        self.coordinator: Coordinator | None = None
+        self.capacity = CapacityEstimate()
+        self._leadership: Leadership | None = None
+        self._last_offers_us = -(1 << 60)
+        self._offered_since_us: dict[str, int] = {}
         self._starting: set[tuple[str, str]] = set()
         self._tasks = BackgroundTasks(EventLogger(log.name))
-        self._renewing: dict[tuple[str, str], int] = {}
+        self._renewal_requested_us: dict[tuple[str, str], int] = {}
         self._listening = False
-        self.facts = FederationMetrics()
+        self.metrics = FederationMetrics()
 
     def attach(self, controller: Controller) -> None:
-        """The node is made."""
-        self.node = controller
-        self.view = controller.replica
-        self.loans = OffloadRecords(controller.replica, self._changed)
-        self.link = Link(self.keys, {}, self._hear, self._serve)
-        self.carrying = Carrying(self.settings.archives, self.link, self.loans, controller.replica)
+        """Connect to the controller, which calls this once it is built."""
+        self.controller = controller
+        self.replica = controller.replica
+        self.records = OffloadRecords(controller.replica, self._record_changed)
+        self.link = Link(self.keys, {}, self._receive, self._serve)
+        self.transfers = Transfers(self.settings.archives, self.link, self.records, controller.replica)
 
     def loops(self) -> list[Callable[[], Awaitable[None]]]:
-        """Rounds beside the node's own."""
-        return [self.step, self.carry]
+        """Return the loops that the controller runs beside its own."""
+        return [self.step, self.transfer]
 
-    def _changed(self, key: str) -> None:
-        if self.desk is not None and key[:2] in ("l/", "g/"):
-            self.desk.ledger.record_changed(key)
+    def _record_changed(self, key: str) -> None:
+        if self.coordinator is not None and key[:2] in ("l/", "g/"):
+            self.coordinator.ledger.record_changed(key)
 
-    # -- the desk, while this node leads ---------------------------------------------------------
+    # -- the coordinator, while this controller leads --------------------------------------------
 
-    def _keep_desk(self) -> Coordinator | None:
-        """The desk of the present leadership; None while this node must not act."""
-        chief = self.node.leases.leadership
-        if chief is None or not chief.is_current():
-            self.desk = self._chief = None
+    def _current_coordinator(self) -> Coordinator | None:
+        """Return the coordinator of the current leadership; None while this controller must not act."""
+        leadership = self.controller.leases.leadership
+        if leadership is None or not leadership.is_current():
+            self.coordinator = self._leadership = None
             return None
-        if self.node.kv.unavailable_since_us is not None or not self.node.leases.may_act():
+        if self.controller.kv.unavailable_since_us is not None or not self.controller.leases.may_act():
             return None
-        if chief is not self._chief:
-            books = OffloadLedger(
-                chief.fencing_token,
+        if leadership is not self._leadership:
+            ledger = OffloadLedger(
+                leadership.fencing_token,
                 {},
                 int(self.settings.reserve_s * SECOND_US),
-                self.node.settings.lease_us,
+                self.controller.settings.lease_us,
                 int(self.settings.margin_s * SECOND_US),
             )
-            loans = self.loans
-            books.follow_records(
-                loans.origin_records, loans.remote_records, loans.open_origin, loans.open_remote
+            records = self.records
+            ledger.follow_records(
+                records.origin_records, records.remote_records, records.open_origin, records.open_remote
             )
-            self._chief = chief
-            self._offered.clear()
-            self.desk = Coordinator(
+            self._leadership = leadership
+            self._offered_since_us.clear()
+            self.coordinator = Coordinator(
                 self.site,
-                books,
+                ledger,
                 [],
-                self.patience,
+                self.timeouts,
                 self._commit,
                 self.link.send,
-                self._free,
+                self._reservable_capacity,
                 now_us,
                 wall_us,
                 capacity_offer=self._offer,
             )
             log.info(
-                "keeping the desk: %d loans open as home, %d as guest",
-                len(self.loans.open_origin),
-                len(self.loans.open_remote),
+                "coordinator started: %d open offloads as the origin cluster, %d as the remote cluster",
+                len(self.records.open_origin),
+                len(self.records.open_remote),
             )
-        assert self.desk is not None
-        return self.desk
+        assert self.coordinator is not None
+        return self.coordinator
 
     def _follow_peers(self) -> None:
-        """Peers as operators have entered them."""
-        known = {n: p for n, p in self.loans.peers.items() if not p.forgotten}
-        self.link.name_peers({name: rec.addrs for name, rec in known.items()})
-        if self.desk is None:
+        """Apply the records of peers that operators have entered."""
+        known = {n: p for n, p in self.records.peers.items() if not p.forgotten}
+        self.link.name_peers({name: peer_record.addrs for name, peer_record in known.items()})
+        if self.coordinator is None:
             return
-        desk, now = self.desk, now_us()
-        for name in [n for n in desk.peers if n not in known]:
-            del desk.peers[name]
-        for name, rec in known.items():
-            peer = desk.peers.get(name)
+        coordinator, now = self.coordinator, now_us()
+        for name in [n for n in coordinator.peers if n not in known]:
+            del coordinator.peers[name]
+        for name, peer_record in known.items():
+            peer = coordinator.peers.get(name)
             if peer is None:
-                peer = desk.peers[name] = peer_health.PeerHealth(name, self.patience, now)
-            if rec.drained and peer.state != peer_health.DRAINED:
+                peer = coordinator.peers[name] = peer_health.PeerHealth(name, self.timeouts, now)
+            if peer_record.drained and peer.state != peer_health.DRAINED:
                 peer.drain()
-            elif not rec.drained and peer.state == peer_health.DRAINED:
+            elif not peer_record.drained and peer.state == peer_health.DRAINED:
                 peer.resume()
-            desk.ledger.grants[name] = rec.grant if not rec.drained else Grant()
+            coordinator.ledger.grants[name] = peer_record.grant if not peer_record.drained else Grant()
 
     async def _commit(self, entry: LedgerEntry) -> bool:
-        """Write an entry together with what it means for its job."""
-        chief = self._chief
-        if chief is None or not chief.is_current():
+        """Write an entry and the resulting changes of its job in one transaction."""
+        leadership = self._leadership
+        if leadership is None or not leadership.is_current():
             return False
         kind, _, rest = entry.key.partition("/")
         if kind == "l":
-            writes = origin_transaction(self.view, rest, entry, wall_us())
+            transaction = origin_transaction(self.replica, rest, entry, wall_us())
         else:
             peer, _, ref = rest.partition("/")
-            assert self.desk is not None and isinstance(entry.after, RemoteRecord)
-            until = self.desk.ledger.run_until_us(entry.after)
-            writes = remote_transaction(self.view, peer, ref, entry, wall_us(), until)
-        return writes is not None and await chief.commit(*writes) == CommitOutcome.COMMITTED
+            assert self.coordinator is not None and isinstance(entry.after, RemoteRecord)
+            until = self.coordinator.ledger.run_until_us(entry.after)
+            transaction = remote_transaction(self.replica, peer, ref, entry, wall_us(), until)
+        return transaction is not None and await leadership.commit(*transaction) == CommitOutcome.COMMITTED
 
     async def step(self) -> None:
-        """One round of the desk."""
+        """Run one step of the coordinator, if this controller leads."""
         await asyncio.sleep(self.settings.step_s * random.uniform(0.8, 1.2))
         if not self._listening:
-            host, _, port = self.settings.binds[self.node.node].rpartition(":")
+            host, _, port = self.settings.binds[self.controller.node].rpartition(":")
             self._listening = self.link.listen(host, int(port))
-        if not self.node.follower.loaded:
+        if not self.controller.follower.loaded:
             return
         self.link.renew()
-        desk = self._keep_desk()
+        coordinator = self._current_coordinator()
         self._follow_peers()
-        if desk is None:
+        if coordinator is None:
             return
-        await self._tend_home(desk)
-        await self._tend_guest(desk)
-        await desk.step()
-        self.facts.update(desk, self.loans, self.link.refused)
+        await self._manage_origin_offloads(coordinator)
+        await self._manage_remote_offloads(coordinator)
+        await coordinator.step()
+        self.metrics.update(coordinator, self.records, self.link.refused)
 
-    async def _tend_home(self, desk: Coordinator) -> None:
+    async def _manage_origin_offloads(self, coordinator: Coordinator) -> None:
         now = now_us()
-        for ref in list(self.loans.open_origin):
-            book, job = self.loans.origin_records[ref], self.view.jobs.get(ref)
-            rec = self.loans.peers.get(book.peer)
-            since = self._offered.setdefault(ref, now) if book.offload.state == handoff.OFFERED else now
-            if rec is None or rec.forgotten:
-                entry = desk.ledger.change_origin(ref, handoff.force_end(book.offload))
+        for ref in list(self.records.open_origin):
+            record, job = self.records.origin_records[ref], self.replica.jobs.get(ref)
+            peer_record = self.records.peers.get(record.peer)
+            since = (
+                self._offered_since_us.setdefault(ref, now)
+                if record.offload.state == handoff.OFFERED
+                else now
+            )
+            if peer_record is None or peer_record.forgotten:
+                entry = coordinator.ledger.change_origin(ref, handoff.force_end(record.offload))
                 if entry is not None:
-                    why = rec.forgotten if rec is not None else "the peer was removed"
-                    entry.after = msgspec.structs.replace(entry.after, forced=why)
-                    log.warning("loan of %s to %s ended by an operator's word: %s", ref, book.peer, why)
-                    await desk.apply(entry)
-            elif desk.ledger.term_has_ended(book, wall_us()):
-                log.info("the term of %s at %s is over: it is home again", ref, book.peer)
-                await desk.apply(desk.ledger.change_origin(ref, handoff.take_back_after_term(book.offload)))
-            elif book.offload.state == handoff.OFFERED and (
+                    reason = peer_record.forgotten if peer_record is not None else "the peer was removed"
+                    entry.after = msgspec.structs.replace(entry.after, forced=reason)
+                    log.warning("offload of %s to %s ended by an operator: %s", ref, record.peer, reason)
+                    await coordinator.apply(entry)
+            elif coordinator.ledger.term_has_ended(record, wall_us()):
+                log.info("the term of %s at %s has ended; its tasks are taken back", ref, record.peer)
+                await coordinator.apply(
+                    coordinator.ledger.change_origin(ref, handoff.take_back_after_term(record.offload))
+                )
+            elif record.offload.state == handoff.OFFERED and (
                 (job is not None and job.is_final) or now - since >= self.settings.offer_s * SECOND_US
             ):
-                await desk.apply(desk.ledger.change_origin(ref, handoff.withdraw(book.offload)))
-        for ref in [r for r in self._offered if r not in self.loans.open_origin]:
-            del self._offered[ref]
-
-    async def _tend_guest(self, desk: Coordinator) -> None:
-        """What is borrowed: begin it, notice its end, give back what must go."""
-        rows: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
-        for peer, ref in list(self.loans.open_remote):
-            book = self.loans.remote_records[peer, ref]
-            job = self.view.jobs.get(local_job_id(peer, ref, book.offload.number))
-            rows.append(((peer, ref), book, job))
-            if book.offload.state == handoff.HOLDING and job is None:
+                await coordinator.apply(
+                    coordinator.ledger.change_origin(ref, handoff.withdraw(record.offload))
+                )
+        for ref in [r for r in self._offered_since_us if r not in self.records.open_origin]:
+            del self._offered_since_us[ref]
+
+    async def _manage_remote_offloads(self, coordinator: Coordinator) -> None:
+        """Start jobs of peers, report their ends, and return those that must give way."""
+        remote_jobs: list[tuple[tuple[str, str], RemoteRecord, Job | None]] = []
+        for peer, ref in list(self.records.open_remote):
+            record = self.records.remote_records[peer, ref]
+            job = self.replica.jobs.get(local_job_id(peer, ref, record.offload.number))
+            remote_jobs.append(((peer, ref), record, job))
+            if record.offload.state == handoff.HOLDING and job is None:
                 if (peer, ref) not in self._starting:
                     self._starting.add((peer, ref))
-                    self._tasks.start(self._begin(peer, ref))
+                    self._tasks.start(self._start_remote_job(peer, ref))
             elif job is not None and (
-                (job.is_final and book.offload.state in (handoff.HOLDING, handoff.STOPPING))
+                (job.is_final and record.offload.state in (handoff.HOLDING, handoff.STOPPING))
                 or (
-                    book.offload.state == handoff.STOPPING
+                    record.offload.state == handoff.STOPPING
                     and job.past_run_limit(wall_us())
                     and not job.placed_tasks
                 )
             ):
-                await self._ended(desk, peer, ref, book, job)
-            elif book.offload.state == handoff.STOPPING and job is None:
-                await desk.apply(
-                    desk.ledger.change_remote(peer, ref, handoff.all_tasks_stopped(book.offload))
+                await self._report_ended_job(coordinator, peer, ref, record, job)
+            elif record.offload.state == handoff.STOPPING and job is None:
+                await coordinator.apply(
+                    coordinator.ledger.change_remote(peer, ref, handoff.all_tasks_stopped(record.offload))
                 )
-            if book.term_us and book.offload.state == handoff.HOLDING:
-                await self._keep_term(desk, peer, ref, book)
-        for loan in [n for n in self._renewing if n not in self.loans.open_remote]:
-            del self._renewing[loan]
+            if record.term_us and record.offload.state == handoff.HOLDING:
+                await self._maintain_term(coordinator, peer, ref, record)
+        for offload_key in [n for n in self._renewal_requested_us if n not in self.records.open_remote]:
+            del self._renewal_requested_us[offload_key]
         s = self.settings
         for peer, ref in offloads_to_return(
-            self.seen, rows, now_us(), int(s.yield_s * SECOND_US), int(s.idle_s * SECOND_US), wall_us()
+            self.capacity,
+            remote_jobs,
+            now_us(),
+            int(s.yield_s * SECOND_US),
+            int(s.idle_s * SECOND_US),
+            wall_us(),
         ):
             log.info("giving %s back to %s", ref, peer)
-            await self._give_back(desk, peer, ref)
+            await self._return_offload(coordinator, peer, ref)
 
-    async def _give_back(self, desk: Coordinator, peer: str, ref: str) -> None:
-        """Of our own accord: what runs is stopped with time to save."""
-        entry = desk.ledger.change_remote(
-            peer, ref, (handoff.begin_return(self.loans.remote_records[peer, ref].offload), [])
+    async def _return_offload(self, coordinator: Coordinator, peer: str, ref: str) -> None:
+        """Return an offload without a recall; running tasks are stopped with time for a checkpoint."""
+        entry = coordinator.ledger.change_remote(
+            peer, ref, (handoff.begin_return(self.records.remote_records[peer, ref].offload), [])
         )
         if entry is not None:
             entry.graceful = True
-            await desk.apply(entry)
+            await coordinator.apply(entry)
 
-    async def _keep_term(self, desk: Coordinator, peer: str, ref: str, book: RemoteRecord) -> None:
-        """Ask for more time once half of the term is over, and give the job back at its end.
+    async def _maintain_term(
+        self, coordinator: Coordinator, peer: str, ref: str, record: RemoteRecord
+    ) -> None:
+        """Request a renewal once half of the term is over, and return the job at its end.
 
-        The shard owners stop running tasks by themselves then; this only reports it to the home site.
+        The shard owners stop running tasks by themselves then; this only reports it to the origin cluster.
         """
-        if wall_us() >= desk.ledger.run_until_us(book):
-            log.info("the term of %s from %s is over here", ref, peer)
-            await self._give_back(desk, peer, ref)
-        elif now_us() - self._renewing.get((peer, ref), -(1 << 60)) >= SECOND_US:
-            said = desk.ledger.renewal_request(peer, ref, wall_us())
-            if said is not None:
-                self._renewing[peer, ref] = now_us()
-                desk.queue_message(peer, said)
-
-    async def _begin(self, peer: str, ref: str) -> None:
-        """Bring what the job runs, then let it be a job here."""
+        if wall_us() >= coordinator.ledger.run_until_us(record):
+            log.info("the term of %s, offloaded by %s, has ended", ref, peer)
+            await self._return_offload(coordinator, peer, ref)
+        elif now_us() - self._renewal_requested_us.get((peer, ref), -(1 << 60)) >= SECOND_US:
+            message = coordinator.ledger.renewal_request(peer, ref, wall_us())
+            if message is not None:
+                self._renewal_requested_us[peer, ref] = now_us()
+                coordinator.queue_message(peer, message)
+
+    async def _start_remote_job(self, peer: str, ref: str) -> None:
+        """Fetch the description of an offloaded job, then create the job here."""
         try:
-            book, chief = self.loans.remote_records.get((peer, ref)), self._chief
-            if book is None or chief is None:
+            record, leadership = self.records.remote_records.get((peer, ref)), self._leadership
+            if record is None or leadership is None:
                 return
-            desk = self.desk
-            until = desk.ledger.run_until_us(book) if desk is not None else 0
-            rec = remote_job_record(peer, ref, book, wall_us(), until)
-            if rec is None or not await self.carrying.fetch_description(peer, ref, rec.spec.job_id):
+            coordinator = self.coordinator
+            until = coordinator.ledger.run_until_us(record) if coordinator is not None else 0
+            job_record = remote_job_record(peer, ref, record, wall_us(), until)
+            if job_record is None or not await self.transfers.fetch_description(
+                peer, ref, job_record.spec.job_id
+            ):
                 return
-            # Only while the loan is held: stopping it writes the same record.
-            key, job = f"g/{peer}/{ref}", f"j/{rec.spec.job_id}"
-            if self.loans.remote_records.get((peer, ref)) == book:
-                await chief.commit({job: rec}, {key: self.view.version_of(key), job: 0})
+            # The job is created only while the offload is held: stopping the offload writes the same record.
+            key, job = f"g/{peer}/{ref}", f"j/{job_record.spec.job_id}"
+            if self.records.remote_records.get((peer, ref)) == record:
+                await leadership.commit({job: job_record}, {key: self.replica.version_of(key), job: 0})
         finally:
             self._starting.discard((peer, ref))
 
-    async def _ended(self, desk: Coordinator, peer: str, ref: str, book: RemoteRecord, job: Job) -> None:
-        """The borrowed job is over: once nothing of it is anywhere, home is told."""
+    async def _report_ended_job(
+        self, coordinator: Coordinator, peer: str, ref: str, record: RemoteRecord, job: Job
+    ) -> None:
+        """Report the end of a peer's job to the origin cluster once none of its tasks is placed."""
         if job.placed_tasks:
             return
-        loan, says = book.offload, list[handoff.Message]()
-        if loan.state == handoff.HOLDING and job.state != JobState.DONE:
-            # Somebody here has cancelled it.
-            await desk.apply(desk.ledger.change_remote(peer, ref, (handoff.begin_return(loan), [])))
+        offload, messages = record.offload, list[handoff.Message]()
+        if offload.state == handoff.HOLDING and job.state != JobState.DONE:
+            # A user of this cluster cancelled the job.
+            await coordinator.apply(
+                coordinator.ledger.change_remote(peer, ref, (handoff.begin_return(offload), []))
+            )
             return
-        done = loan.task_mask if job.state == JobState.DONE else job.done_tasks & loan.task_mask
+        done = offload.task_mask if job.state == JobState.DONE else job.done_tasks & offload.task_mask
         for task in range(job.spec.tasks):
-            if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
-                loan, says = handoff.task_done_at_remote(loan, task)
-        if loan.state == handoff.STOPPING:
-            loan, says = handoff.all_tasks_stopped(loan)
-        await desk.apply(desk.ledger.change_remote(peer, ref, (loan, says)))
+            if done >> task & 1 and offload.state in (handoff.HOLDING, handoff.STOPPING):
+                offload, messages = handoff.task_done_at_remote(offload, task)
+        if offload.state == handoff.STOPPING:
+            offload, messages = handoff.all_tasks_stopped(offload)
+        await coordinator.apply(coordinator.ledger.change_remote(peer, ref, (offload, messages)))
 
-    # -- lending ---------------------------------------------------------------------------------
+    # -- offers ----------------------------------------------------------------------------------
 
-    async def before_plan(self, chief: Leadership) -> None:
+    async def before_plan(self, leadership: Leadership) -> None:
         """Offer jobs that wait too long, before the leader's scheduling pass.
 
         No route is in flight at this moment, so that an offered task can't be routed at the same time.
         """
-        for ref in list(self.loans.open_origin):
-            self.loans.mark_offloaded_tasks(ref)
-        desk, now = self.desk, now_us()
-        if desk is None or chief is not self._chief or now - self._lent_us < self.settings.lend_s * SECOND_US:
+        for ref in list(self.records.open_origin):
+            self.records.mark_offloaded_tasks(ref)
+        coordinator, now = self.coordinator, now_us()
+        if (
+            coordinator is None
+            or leadership is not self._leadership
+            or now - self._last_offers_us < self.settings.lend_s * SECOND_US
+        ):
             return
-        rooms = self._rooms(desk, now)
-        if not rooms:
+        peer_capacities = self._peer_capacities(coordinator, now)
+        if not peer_capacities:
             return
-        self._lent_us = now
+        self._last_offers_us = now
         s = self.settings
-        refs = [job.spec.job_id for job, _ in waiting_jobs(chief.planner)]
+        refs = [job.spec.job_id for job, _ in waiting_jobs(leadership.planner)]
         returned = {
-            ref: self.loans.origin_records[ref].returned for ref in refs if ref in self.loans.origin_records
+            ref: self.records.origin_records[ref].returned
+            for ref in refs
+            if ref in self.records.origin_records
         }
         queue = waiting_with_estimates(
-            chief.planner,
-            self.node.settings.shard_count,
-            self.node.settings.start_objectives,
+            leadership.planner,
+            self.controller.settings.shard_count,
+            self.controller.settings.start_objectives,
             int(s.leaving.aim_s * SECOND_US),
             int(s.leaving.wait_s * SECOND_US),
             returned,
@@ -348,96 +375,104 @@
             wall_us(),
         )
         entries: list[LedgerEntry] = []
-        for lend in choose_offers(queue, rooms, self.policy, now):
-            job = self.view.jobs[lend.ref]
+        for planned in choose_offers(queue, peer_capacities, self.policy, now):
+            job = self.replica.jobs[planned.ref]
             spec = job.spec
             term_us = int(s.leaving.terms_s.get(spec.job_class, 0.0) * SECOND_US)
-            entry = desk.ledger.offer(
-                lend.ref,
+            entry = coordinator.ledger.offer(
+                planned.ref,
                 spec.tasks,
                 ResourceAmounts(spec.cpus, spec.gpus, spec.memory_gb),
-                lend,
+                planned,
                 job.placed_tasks | job.done_tasks,
                 bool(term_us),
                 spec,
                 term_us,
             )
             if entry is not None:
-                log.info("offering %d tasks of %s to %s", lend.task_count, lend.ref, lend.peer)
+                log.info("offering %d tasks of %s to %s", planned.task_count, planned.ref, planned.peer)
                 entries.append(entry)
-        await asyncio.gather(*(desk.apply(entry) for entry in entries))
-
-    def _rooms(self, desk: Coordinator, now: int) -> list[PeerCapacity]:
-        out = []
-        under_way: dict[str, int] = {}
-        for ref in self.loans.open_origin:
-            book = self.loans.origin_records[ref]
-            if book.offload.state == handoff.OFFERED:
-                under_way[book.peer] = under_way.get(book.peer, 0) + 1
-        for name, peer in desk.peers.items():
-            offer, at = desk.offers.get(name, (None, 0))
-            rec = self.loans.peers.get(name)
+        await asyncio.gather(*(coordinator.apply(entry) for entry in entries))
+
+    def _peer_capacities(self, coordinator: Coordinator, now: int) -> list[PeerCapacity]:
+        capacities = []
+        open_offers: dict[str, int] = {}
+        for ref in self.records.open_origin:
+            record = self.records.origin_records[ref]
+            if record.offload.state == handoff.OFFERED:
+                open_offers[record.peer] = open_offers.get(record.peer, 0) + 1
+        for name, peer in coordinator.peers.items():
+            offer, received_at_us = coordinator.offers.get(name, (None, 0))
+            peer_record = self.records.peers.get(name)
             if (
                 offer is None
-                or rec is None
-                or not rec.lend
-                or now - at > FRESH_US
+                or peer_record is None
+                or not peer_record.lend
+                or now - received_at_us > MAX_OFFER_AGE_US
                 or not peer.accepts_offers(now)
             ):
                 continue
-            out.append(
+            capacities.append(
                 PeerCapacity(
                     name,
                     offer.cpus,
                     offer.gpus,
                     offer.memory_gb,
                     offer.start_us,
-                    desk.link_delay_us.get(name, 0),
-                    rec.price * offer.price,
-                    under_way.get(name, 0),
+                    coordinator.link_delay_us.get(name, 0),
+                    peer_record.price * offer.price,
+                    open_offers.get(name, 0),
                 )
             )
-        return out
+        return capacities
 
-    def after_plan(self, chief: Leadership) -> None:
-        """After a pass: what is free, and what waits."""
+    def after_plan(self, leadership: Leadership) -> None:
+        """Estimate the free capacity and the demand after a scheduling pass."""
         now = now_us()
-        self.seen = estimate_capacity(chief.planner, self.seen, now)
-        self.seen.refused = any(until > now for until in chief.autoscaler.refused_until_us.values())
-        rents = {f"peer:{name}" for name, rec in self.loans.peers.items() if rec.grant.rent}
+        self.capacity = estimate_capacity(leadership.planner, self.capacity, now)
+        self.capacity.refused = any(until > now for until in leadership.autoscaler.refused_until_us.values())
+        renting_teams = {
+            f"peer:{name}" for name, peer_record in self.records.peers.items() if peer_record.grant.rent
+        }
 
-        def wanted(row: tuple[Job, int]) -> bool:
+        def may_rent_machines(row: tuple[Job, int]) -> bool:
             team = row[0].spec.team
-            return not team.startswith("peer:") or team in rents
-
-        # No machine is rented for what is borrowed unless its grant says so.
-        chief.planner.unplaced = [row for row in chief.planner.unplaced if wanted(row)]
-        chief.planner.unroutable = [row for row in chief.planner.unroutable if wanted(row)]
-
-    def _amounts(self, peer: str) -> tuple[float, float, float]:
-        rec = self.loans.peers.get(peer)
-        desk = self.desk
-        if rec is None or desk is None:
+            return not team.startswith("peer:") or team in renting_teams
+
+        # Machines are rented for a peer's jobs only if its grant allows it.
+        leadership.planner.unplaced = [row for row in leadership.planner.unplaced if may_rent_machines(row)]
+        leadership.planner.unroutable = [
+            row for row in leadership.planner.unroutable if may_rent_machines(row)
+        ]
+
+    def _capacity_for_peer(self, peer: str) -> tuple[float, float, float]:
+        peer_record = self.records.peers.get(peer)
+        coordinator = self.coordinator
+        if peer_record is None or coordinator is None:
             return (0.0, 0.0, 0.0)
         return capacity_for_peer(
-            rec.grant, self.seen, desk.ledger.used(peer), desk.ledger.reserved(), rec.drained
+            peer_record.grant,
+            self.capacity,
+            coordinator.ledger.used(peer),
+            coordinator.ledger.reserved(),
+            peer_record.drained,
         )
 
-    def _free(self, peer: str) -> ResourceAmounts:
-        """What the books may reserve for a peer; they subtract themselves what is reserved already."""
-        desk = self.desk
-        assert desk is not None
-        return to_resource_amounts(add_amounts(self._amounts(peer), desk.ledger.reserved()))
+    def _reservable_capacity(self, peer: str) -> ResourceAmounts:
+        """Return what the ledger may reserve for a peer; the ledger subtracts what is reserved already."""
+        coordinator = self.coordinator
+        assert coordinator is not None
+        return to_resource_amounts(add_amounts(self._capacity_for_peer(peer), coordinator.ledger.reserved()))
 
     def _offer(self, peer: str) -> Offer | None:
-        amounts = self._amounts(peer)
-        rec = self.loans.peers.get(peer)
-        if rec is None:
+        amounts = self._capacity_for_peer(peer)
+        peer_record = self.records.peers.get(peer)
+        if peer_record is None:
             return None
-        # What has to be rented first starts after a boot.
-        there = all(have >= want for have, want in zip(self.seen.free, amounts, strict=True))
-        boot = max((t.boot_us for t in self.node.machine_types.values()), default=0)
-        return Offer(*amounts, start_us=0 if there or not rec.grant.rent else boot)
+        # A job that needs a rented machine starts after the machine has booted.
+        is_free_now = all(have >= want for have, want in zip(self.capacity.free, amounts, strict=True))
+        boot_us = max((t.boot_us for t in self.controller.machine_types.values()), default=0)
+        return Offer(*amounts, start_us=0 if is_free_now or not peer_record.grant.rent else boot_us)
 
     # -- users, peers, operators -----------------------------------------------------------------
 
@@ -449,37 +484,37 @@
         """
         ref = job.spec.job_id
         key = f"l/{ref}"
-        book = self.loans.origin_records.get(ref)
-        if book is None or book.offload.state not in (handoff.GRANTED, handoff.RECALLING):
-            return {key: self.view.version_of(key)}
-        if not book.offload.cancel_requested:
-            after = msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0])
-            outcome = await self.node.kv.commit(
-                {key: self.view.version_of(key), f"j/{ref}": job.version},
+        record = self.records.origin_records.get(ref)
+        if record is None or record.offload.state not in (handoff.GRANTED, handoff.RECALLING):
+            return {key: self.replica.version_of(key)}
+        if not record.offload.cancel_requested:
+            after = msgspec.structs.replace(record, offload=handoff.cancel(record.offload)[0])
+            outcome = await self.controller.kv.commit(
+                {key: self.replica.version_of(key), f"j/{ref}": job.version},
                 {key: (after, None)},
                 urgency=URGENT,
             )
             if outcome.state == CommitOutcome.COMMITTED:
-                self.node.follower.apply_own_commit(key, outcome.revision, after)
-                log.info("cancelling %s, which %s has", ref, book.peer)
+                self.controller.follower.apply_own_commit(key, outcome.revision, after)
+                log.info("cancelling %s, which %s has", ref, record.peer)
         return None
 
-    async def _hear(self, peer: str, envelope: Envelope) -> Envelope:
-        desk = self._keep_desk()
-        if desk is None or peer not in desk.peers:
+    async def _receive(self, peer: str, envelope: Envelope) -> Envelope:
+        coordinator = self._current_coordinator()
+        if coordinator is None or peer not in coordinator.peers:
             raise NotCoordinatorError
-        return await desk.receive(peer, envelope)
+        return await coordinator.receive(peer, envelope)
 
     async def _serve(self, peer: str, request: HTTPServerRequest) -> Answer:
-        return await self.carrying.serve(peer, request)
+        return await self.transfers.serve(peer, request)
 
-    async def carry(self) -> None:
-        """Bring home what lent tasks wrote."""
+    async def transfer(self) -> None:
+        """Copy the logs and files of offloaded tasks here, if this controller leads."""
         await asyncio.sleep(1.0)
-        if self.desk is not None:
-            await self.carrying.step()
+        if self.coordinator is not None:
+            await self.transfers.step()
 
     def handle(self, request: HTTPServerRequest) -> Answer | None:
-        """Questions of operators."""
-        known: dict[str, Any] = {"site": self.site, "node": self.node.node}
-        return answer_request(request, known, self.desk, self.loans, self.facts)
+        """Answer requests of operators; None if the path is not one of the federation."""
+        base_fields: dict[str, Any] = {"site": self.site, "node": self.controller.node}
+        return answer_request(request, base_fields, self.coordinator, self.records, self.metrics)
--- a/pearstep/federation/offload_transactions.py
+++ b/pearstep/federation/offload_transactions.py
@@ -54,8 +54,8 @@
     """Return the record of the job that runs here for a peer, or None if it may not begin.
 
     It has the task numbers of the origin cluster, without the tasks that are not offloaded, the lowest
-    priority, and a class of its own, so that no service-level objective or quota guarantee of this cluster applies
-    to it. A job whose term is over doesn't begin.
+    priority, and a class of its own, so that no service-level objective or quota guarantee of this cluster
+    applies to it. A job whose term is over doesn't begin.
     """
     if (
         record.spec is None
--- a/pearstep/federation/transfers.py
+++ b/pearstep/federation/transfers.py
@@ -63,7 +63,7 @@
     return Key(ref, attempt["task"], attempt["attempt"], f"{peer}.{attempt['machine']}", attempt["start"])
 
 
-class Carrying:
+class Transfers:
     """One site's end. Without archives nothing is carried, and descriptions are not needed."""
 
     def __init__(
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -14,7 +14,7 @@
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.offload_transactions import local_job_id, team_of_peer
-from pearstep.federation.transfers import LINGER_US, Carrying
+from pearstep.federation.transfers import LINGER_US, Transfers
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
 from pearstep.state.records import JobRecord
@@ -43,12 +43,12 @@
         host, _, port = addrs[name].rpartition(":")
         assert self.link.listen(host, int(port))
         self.now = 0
-        self.carrying = Carrying(
+        self.transfers = Transfers(
             list(self.site.addrs.values()), self.link, self.loans, self.view, lambda: self.now
         )
 
     async def serve(self, peer, request):
-        return await self.carrying.serve(peer, request)
+        return await self.transfers.serve(peer, request)
 
     def put(self, key, value):
         self.view.put(key, self.view.version_of(key) + 1, msgspec.json.encode(value), 0)
@@ -97,23 +97,23 @@
 
 def test_the_description_goes_along_and_counts_for_the_peer(tmp_path):
     async def scenario(home, there, tmp_path):
-        assert await there.carrying.fetch_description("huye", "req-1", LOCAL)
+        assert await there.transfers.fetch_description("huye", "req-1", LOCAL)
         status, body = await there.site.client.ask("GET", f"/v1/jobs/{LOCAL}")
         assert status == 200 and decode(body).team == "peer:huye" and decode(body).run.command == ["x"]
         # A job that this peer does not hold is none of its business.
         lend(home, handoff.OFFERED)
-        assert not await there.carrying.fetch_description("huye", "req-1", LOCAL + "1")
-        assert not await there.carrying.fetch_description("huye", "req-2", LOCAL + "2")
+        assert not await there.transfers.fetch_description("huye", "req-1", LOCAL + "1")
+        assert not await there.transfers.fetch_description("huye", "req-2", LOCAL + "2")
 
     play(scenario, tmp_path)
 
 
 def test_logs_and_files_come_home_as_they_are_written(tmp_path):
     async def scenario(home, there, tmp_path):
-        await there.carrying.fetch_description("huye", "req-1", LOCAL)
+        await there.transfers.fetch_description("huye", "req-1", LOCAL)
         key = Key(LOCAL, 0, 1, "i-1", 4)
         await write(there, key, b"half of it\n", end=False)
-        await home.carrying.step()
+        await home.transfers.step()
         mine = Key("req-1", 0, 1, "nyarugenge.i-1", 4)
         assert (await home.site.client.read(mine, "stdout", 0))[0] == b"half of it\n"
         (found,) = await home.site.client.attempts("req-1")
@@ -129,7 +129,7 @@
         (folder / "maps" / "a.tif").write_bytes(b"tile" * 600_000)
         assert await there.site.client.publish(key, "t", folder, ["maps/a.tif"]) == ""
         lend(home, handoff.AT_ORIGIN, done_mask=0b11)
-        await home.carrying.step()
+        await home.transfers.step()
         (found,) = await home.site.client.attempts("req-1")
         assert (found["state"], found["cause"], found["whole"]) == ("sealed", "done", True)
         data, holes = await home.site.client.read(mine, "stdout", 0)
@@ -137,34 +137,34 @@
         assert [(f["name"], f["size"]) for f in found["artefacts"]] == [("maps/a.tif", 2_400_000)]
         # All of it is here. What a task saved may follow its end; after a while nothing is asked for any
         # more.
-        assert home.carrying._watched
+        assert home.transfers._watched
         home.now += LINGER_US
-        await home.carrying.step()
-        assert not home.carrying._watched
-        before = home.carrying.copied_bytes
-        await home.carrying.step()
-        assert home.carrying.copied_bytes == before
+        await home.transfers.step()
+        assert not home.transfers._watched
+        before = home.transfers.copied_bytes
+        await home.transfers.step()
+        assert home.transfers.copied_bytes == before
 
     play(scenario, tmp_path)
 
 
 def test_a_link_that_is_cut_costs_time_and_nothing_else(tmp_path):
     async def scenario(home, there, tmp_path):
-        await there.carrying.fetch_description("huye", "req-1", LOCAL)
+        await there.transfers.fetch_description("huye", "req-1", LOCAL)
         await write(there, Key(LOCAL, 1, 2, "i-2", 1), b"all of it", end=True, cause="error")
         lend(home, handoff.AT_ORIGIN, done_mask=0)
-        home.carrying._watched["req-1", NUMBER] = "nyarugenge"
+        home.transfers._watched["req-1", NUMBER] = "nyarugenge"
         addrs = home.link.peers["nyarugenge"]
         home.link.peers["nyarugenge"] = [free_addr()]
-        await home.carrying.step()
-        assert home.carrying._watched and await home.site.client.attempts("req-1") == []
+        await home.transfers.step()
+        assert home.transfers._watched and await home.site.client.attempts("req-1") == []
         home.link.peers["nyarugenge"] = [free_addr(), *addrs]
-        await home.carrying.step()
+        await home.transfers.step()
         (found,) = await home.site.client.attempts("req-1")
         assert found["cause"] == "error"
         home.now += LINGER_US
-        await home.carrying.step()
-        assert not home.carrying._watched
+        await home.transfers.step()
+        assert not home.transfers._watched
 
     play(scenario, tmp_path)
 
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -16,7 +16,7 @@
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.operator_api import FederationMetrics
 from pearstep.federation.peer_health import HealthTimeouts
-from pearstep.federation.transfers import Carrying
+from pearstep.federation.transfers import Transfers
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
@@ -178,7 +178,7 @@
 
     out = Link.__new__(Link)
     out.keys, out.refused, out.peers = SimpleNamespace(peer_of=peer_of), 0, {"south": ["10.1.0.1:7101"]}
-    out._serve, out._hear = Carrying([], None, make_records(), None).serve, receive
+    out._serve, out._hear = Transfers([], None, make_records(), None).serve, receive
     return out
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -598,11 +598,11 @@
             def apply_own_commit(key, stamp, value):
                 one.view.put(key, stamp, msgspec.json.encode(value), 0)
 
-    place = Federation.__new__(Federation)
-    place.loans, place.view, place.node = one.loans, one.view, Node()
+    extension = Federation.__new__(Federation)
+    extension.records, extension.replica, extension.controller = one.loans, one.view, Node()
 
     def ask():
-        return asyncio.run(place.before_cancellation(job))
+        return asyncio.run(extension.before_cancellation(job))
 
     # Never lent: under the condition that it is still not lent when the cancellation is written.
     assert ask() == {"l/req-1": 0}
