--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -14,7 +14,7 @@
 from pearstep.federation.link import Link
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.offload_transactions import local_job_id, team_of_peer
-from pearstep.federation.transfers import LINGER_US, Transfers
+from pearstep.federation.transfers import COPY_AFTER_END_US, Transfers
 from pearstep.jobs.description import Description, Run, decode, encode
 from pearstep.protocol.controller_messages import JOBS_PATH
 from pearstep.state.records import JobRecord
@@ -137,10 +137,10 @@
         assert [(f["name"], f["size"]) for f in found["artefacts"]] == [("maps/a.tif", 2_400_000)]
         # All of it is here. What a task saved may follow its end; after a while nothing is asked for any
         # more.
-        assert home.transfers._watched
-        home.now += LINGER_US
+        assert home.transfers._offloads_to_copy
+        home.now += COPY_AFTER_END_US
         await home.transfers.step()
-        assert not home.transfers._watched
+        assert not home.transfers._offloads_to_copy
         before = home.transfers.copied_bytes
         await home.transfers.step()
         assert home.transfers.copied_bytes == before
@@ -153,18 +153,18 @@
         await there.transfers.fetch_description("huye", "req-1", LOCAL)
         await write(there, Key(LOCAL, 1, 2, "i-2", 1), b"all of it", end=True, cause="error")
         lend(home, handoff.AT_ORIGIN, done_mask=0)
-        home.transfers._watched["req-1", NUMBER] = "nyarugenge"
+        home.transfers._offloads_to_copy["req-1", NUMBER] = "nyarugenge"
         addrs = home.link.peers["nyarugenge"]
         home.link.peers["nyarugenge"] = [free_addr()]
         await home.transfers.step()
-        assert home.transfers._watched and await home.site.client.attempts("req-1") == []
+        assert home.transfers._offloads_to_copy and await home.site.client.attempts("req-1") == []
         home.link.peers["nyarugenge"] = [free_addr(), *addrs]
         await home.transfers.step()
         (found,) = await home.site.client.attempts("req-1")
         assert found["cause"] == "error"
-        home.now += LINGER_US
+        home.now += COPY_AFTER_END_US
         await home.transfers.step()
-        assert not home.transfers._watched
+        assert not home.transfers._offloads_to_copy
 
     play(scenario, tmp_path)
 
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -90,10 +90,10 @@
         "loans": link.LOANS,
         "facts": operator_api.STATUS_PATH,
         "metrics": operator_api.METRICS_PATH,
-        "description": transfers.DESCRIPTION,
-        "attempts": transfers.ATTEMPTS,
-        "read": transfers.READ,
-        "file": transfers.FILE,
+        "description": transfers.DESCRIPTION_PATH,
+        "attempts": transfers.ATTEMPTS_PATH,
+        "read": transfers.READ_PATH,
+        "file": transfers.FILE_PATH,
     }
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -30,7 +30,7 @@
     remote_transaction,
 )
 from pearstep.federation.settings import FederationError, load
-from pearstep.federation.transfers import home_key, pieces
+from pearstep.federation.transfers import origin_key, split_at_holes
 from pearstep.jobs.description import home_name
 from pearstep.leader.route_planner import RoutePlanner
 from pearstep.state.job import Job
@@ -366,7 +366,7 @@
         holes.append((100 + offset, length))
         kept[offset : offset + length] = bytes(length)
         at = offset + length
-    parts = pieces(100, bytes(kept), holes)
+    parts = split_at_holes(100, bytes(kept), holes)
     position = 100
     for offset, length, part in parts:
         assert offset == position and length > 0 and (part is None or len(part) == length)
@@ -381,7 +381,7 @@
     for peer in ("hu", "huye-42", "nyarugenge"):
         assert not belongs_to_peer(peer, local)
     attempt = {"task": 3, "attempt": 2, "machine": "i-7", "start": 4}
-    assert home_key("nyarugenge", "req-1", attempt).machine == "nyarugenge.i-7"
+    assert origin_key("nyarugenge", "req-1", attempt).machine == "nyarugenge.i-7"
 
 
 def test_settings_are_checked(tmp_path):
