--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -151,7 +151,7 @@
     def _follow_peers(self) -> None:
         """Apply the records of peers that operators have entered."""
         known = {n: p for n, p in self.records.peers.items() if not p.forgotten}
-        self.link.name_peers({name: peer_record.addrs for name, peer_record in known.items()})
+        self.link.set_peers({name: peer_record.addrs for name, peer_record in known.items()})
         if self.coordinator is None:
             return
         coordinator, now = self.coordinator, now_us()
@@ -190,7 +190,7 @@
             self._listening = self.link.listen(host, int(port))
         if not self.controller.follower.loaded:
             return
-        self.link.renew()
+        self.link.reload_keys()
         coordinator = self._current_coordinator()
         self._follow_peers()
         if coordinator is None:
--- a/pearstep/federation/link.py
+++ b/pearstep/federation/link.py
@@ -1,7 +1,7 @@
 """The link between two clusters: envelopes of messages over HTTPS, both sides with certificates.
 
-An envelope is msgpack, versioned; fields that a side does not know are ignored. One is under way to a peer
-at a time, and its answer carries what the peer says to it at once.
+An envelope is msgpack, versioned; unknown fields are ignored. At most one is in flight to a peer at
+a time, and its answer carries the messages with which the peer replies at once.
 """
 
 from __future__ import annotations
@@ -18,13 +18,16 @@
 from pearstep.federation.ledger import JobMessage
 from pearstep.transport.http import Answer, Client, Server
 
-LOANS = "/v1/loans"
+OFFLOADS_PATH = "/v1/loans"
 VERSION = 1
-MOST_BYTES = 256 * 1024
+MAX_ENVELOPE_BYTES = 256 * 1024
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """Room for a peer's jobs: how much, from when on (0: now), and what it costs beside the other's own."""
+    """Capacity for a peer's jobs: the amounts, the delay until they are free, and the relative price.
+
+    ``start_us`` is 0 if they are free now; ``price`` is relative to the price of the peer's own machines.
+    """
 
     cpus: float
     gpus: float
@@ -34,14 +37,14 @@
 
 
 class NotCoordinatorError(Exception):
-    """This controller does not run the coordinator: that of another address of the site does."""
+    """This controller does not run the coordinator; a controller at another address of the site does."""
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message of one cluster to another.
+    """The messages that one cluster sends to another at once.
 
-    ``whole`` says that everything open between them is in here or was said since the link came back;
-    ``offer`` has the resources that there are for the other cluster's jobs.
+    ``whole`` tells whether every open offload between them is in this envelope or was sent since the link
+    was restored; ``offer`` is the capacity for the other cluster's jobs.
     """
 
     version: int
@@ -63,10 +66,10 @@
     """Decode an envelope.
 
     Raises:
-        ValueError: It can't be decoded; the text is a sentence.
+        ValueError: The body is too long or not a valid envelope; the text is sent to the peer.
     """
-    if len(body) > MOST_BYTES:
-        raise ValueError(f"an envelope has at most {MOST_BYTES} bytes")
+    if len(body) > MAX_ENVELOPE_BYTES:
+        raise ValueError(f"an envelope has at most {MAX_ENVELOPE_BYTES} bytes")
     try:
         envelope = _decoder.decode(body)
     except msgspec.MsgspecError as err:
@@ -77,7 +80,7 @@
 
 
 class _SecureClient(Client):
-    """A client whose connections go to one peer and to nobody else."""
+    """A client whose TLS connections are accepted only if the server proves to be one given peer."""
 
     def __init__(self, context: Callable[[], ssl.SSLContext], peer: str) -> None:
         super().__init__(4)
@@ -96,7 +99,7 @@
         self,
         keys: Keys,
         peers: dict[str, list[str]],
-        hear: Callable[[str, Envelope], Awaitable[Envelope]],
+        receive: Callable[[str, Envelope], Awaitable[Envelope]],
         serve: Callable[[str, HTTPServerRequest], Awaitable[Answer]] | None = None,
     ) -> None:
         """Prepare the links; none is opened yet.
@@ -104,7 +107,7 @@
         Args:
             keys: The keys of this site.
             peers: The addresses of each peer by its name, any of which may run the peer's coordinator.
-            hear: Answers an envelope of a peer, whose name is that of its certificate; raises
+            receive: Answers an envelope of a peer, whose name is that of its certificate; raises
                 NotCoordinatorError.
             serve: Answers the other requests of a peer.
         """
@@ -113,16 +116,16 @@
         self.refused = 0
         self._serve = serve
         self._clients: dict[str, _SecureClient] = {}
-        self.name_peers(peers)
-        self._hear = hear
+        self.set_peers(peers)
+        self._receive = receive
         self._server_context: ssl.SSLContext | None = None
-        self._seen = self._marks()
+        self._key_file_times = self._read_key_file_times()
 
-    def name_peers(self, peers: dict[str, list[str]]) -> None:
-        """Set the peers and their addresses; the address that answered last stays the first to be asked."""
+    def set_peers(self, peers: dict[str, list[str]]) -> None:
+        """Set the peers and their addresses; the address that answered last stays first."""
         for peer, addrs in peers.items():
-            known = self.peers.get(peer, [])
-            self.peers[peer] = [a for a in known if a in addrs] + [a for a in addrs if a not in known]
+            current = self.peers.get(peer, [])
+            self.peers[peer] = [a for a in current if a in addrs] + [a for a in addrs if a not in current]
             if peer not in self._clients:
                 self._clients[peer] = _SecureClient(self._client_context(peer), peer)
         for peer in [p for p in self.peers if p not in peers]:
@@ -132,7 +135,7 @@
         return lambda: self.keys.context(False, peer)
 
     def listen(self, host: str, port: int) -> bool:
-        """Begin to accept links; False as long as no peer is trusted, in which case this is called again."""
+        """Listen for links; return False while no peer is trusted, in which case the caller tries again."""
         if self._server_context is None:
             if not self.keys.peers():
                 return False
@@ -140,16 +143,19 @@
             Server(self.handle, self._server_context).listen(host, port)
         return True
 
-    def _marks(self) -> dict[Path, int]:
+    def _read_key_file_times(self) -> dict[Path, int]:
         files = [self.keys.root / "current.pem", *sorted((self.keys.root / "trusted").iterdir())]
         return {f: f.stat().st_mtime_ns for f in files if f.exists()}
 
-    def renew(self) -> bool:
-        """Take up keys that were changed on disk, for handshakes from now on; links that stand go on."""
-        marks = self._marks()
-        if marks == self._seen:
+    def reload_keys(self) -> bool:
+        """Reload keys that changed on disk, for later handshakes; open connections stay.
+
+        Returns whether any had changed.
+        """
+        times = self._read_key_file_times()
+        if times == self._key_file_times:
             return False
-        self._seen = marks
+        self._key_file_times = times
         if self._server_context is None:
             return True
         self._server_context.load_cert_chain(self.keys.root / "current.pem")
@@ -158,7 +164,7 @@
         return True
 
     async def handle(self, request: HTTPServerRequest) -> Answer:
-        """One envelope. Who is speaking is asked anew each time: a peer may have been revoked meanwhile."""
+        """Answer one request; its certificate is checked each time, since the peer may have been revoked."""
         certificate = request.get_ssl_certificate(binary_form=True)
         if not isinstance(certificate, bytes):
             return 403, b"", {}
@@ -167,9 +173,9 @@
         except SiteKeyError as err:
             self.refused += 1
             return 403, msgspec.json.encode({"error": str(err)}), {}
-        if request.path != LOANS and self._serve is not None and peer in self.peers:
+        if request.path != OFFLOADS_PATH and self._serve is not None and peer in self.peers:
             return await self._serve(peer, request)
-        if request.path != LOANS or request.method != "POST":
+        if request.path != OFFLOADS_PATH or request.method != "POST":
             return 404, b"", {}
         try:
             envelope = decode(request.body)
@@ -179,7 +185,7 @@
             self.refused += 1
             return 403, msgspec.json.encode({"error": f"{peer} may speak for itself alone"}), {}
         try:
-            answer = await self._hear(peer, envelope)
+            answer = await self._receive(peer, envelope)
         except NotCoordinatorError:
             return 421, msgspec.json.encode({"error": "another controller keeps the desk"}), {}
         return 200, encode(answer), {"Content-Type": "application/msgpack"}
@@ -193,7 +199,7 @@
         body = encode(envelope)
         data = b""
         for addr in list(self.peers.get(peer, ())):
-            status, data = await self.ask(peer, addr, "POST", LOANS, body, timeout_s)
+            status, data = await self.request(peer, addr, "POST", OFFLOADS_PATH, body, timeout_s)
             if status == 200:
                 break
             addresses = self.peers.get(peer, [])
@@ -201,7 +207,7 @@
                 addresses.remove(addr)
                 addresses.append(addr)
             if status not in (421, 503):
-                # It may have been taken in: a request to another address would be a second one under way.
+                # The peer may have received it: a request to another address would be a second one in flight.
                 return None
         else:
             return None
@@ -211,7 +217,7 @@
             return None
         return answer if answer.site == peer else None
 
-    async def ask(
+    async def request(
         self, peer: str, addr: str, method: str, path: str, body: bytes | None = None, timeout_s: float = 5.0
     ) -> tuple[int, bytes]:
         """Send a request to one of a peer's addresses; return the status (0: no answer) and the body."""
--- a/pearstep/federation/transfers.py
+++ b/pearstep/federation/transfers.py
@@ -159,7 +159,7 @@
     async def _request(self, peer: str, method: str, path: str, body: bytes | None = None) -> bytes:
         status = 0
         for addr in list(self.link.peers.get(peer, ())):
-            status, data = await self.link.ask(peer, addr, method, path, body, 10.0)
+            status, data = await self.link.request(peer, addr, method, path, body, 10.0)
             if status == 200:
                 return data
             if status == 404:
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -180,7 +180,7 @@
         async def ask(method, path, key=None):
             body = msgspec.msgpack.encode(key) if key else None
             addr = home.link.peers["nyarugenge"][0]
-            return await home.link.ask("nyarugenge", addr, method, path, body)
+            return await home.link.request("nyarugenge", addr, method, path, body)
 
         for job in ("req-9", other):
             status, body = await ask("POST", "/v1/read?stream=stdout&from=0", Key(job, 0, 1, "i-1", 1))
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -87,7 +87,7 @@
         "borrowed job": offload_transactions.local_job_id("south", "req-7", 4_294_967_297),
         "team": offload_transactions.team_of_peer("south"),
         "certificate": keys.server_name("south"),
-        "loans": link.LOANS,
+        "loans": link.OFFLOADS_PATH,
         "facts": operator_api.STATUS_PATH,
         "metrics": operator_api.METRICS_PATH,
         "description": transfers.DESCRIPTION_PATH,
@@ -178,7 +178,7 @@
 
     out = Link.__new__(Link)
     out.keys, out.refused, out.peers = SimpleNamespace(peer_of=peer_of), 0, {"south": ["10.1.0.1:7101"]}
-    out._serve, out._hear = Transfers([], None, make_records(), None).serve, receive
+    out._serve, out._receive = Transfers([], None, make_records(), None).serve, receive
     return out
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -14,7 +14,7 @@
 from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.handoff import Message
 from pearstep.federation.ledger import JobMessage, OffloadLedger, ResourceAmounts
-from pearstep.federation.link import MOST_BYTES, Envelope, Link, decode, encode
+from pearstep.federation.link import MAX_ENVELOPE_BYTES, Envelope, Link, decode, encode
 from pearstep.federation.offload_selection import Grant, PlannedOffer
 from pearstep.federation.peer_health import HealthTimeouts
 from tests.test_keys import site, trust
@@ -183,7 +183,7 @@
         old = world.a.keys.show()[0]
         world.a.keys.issue()
         world.b.keys.issue()
-        assert world.a.link.renew() and world.b.link.renew() and not world.b.link.renew()
+        assert world.a.link.reload_keys() and world.b.link.reload_keys() and not world.b.link.reload_keys()
         await world.steps(1)
         assert states(world)["req-1"] == handoff.GRANTED
         world.a.keys.revoke(old.serial)
@@ -242,7 +242,7 @@
     except ValueError as err:
         assert "envelope" in str(err) or "version" in str(err)
     with pytest.raises(ValueError, match="at most"):
-        decode(bytes(MOST_BYTES + 1))
+        decode(bytes(MAX_ENVELOPE_BYTES + 1))
 
 
 def test_a_stranger_does_not_get_as_far_as_an_envelope(tmp_path):
