--- a/pearstep/federation/__init__.py
+++ b/pearstep/federation/__init__.py
@@ -1,1 +1,1 @@
-"""Clusters that lend one another work: the handoff, the view of a peer, and what is lent to whom."""
+"""Offloading of jobs between clusters: handoff, health of peers, and selection of offloads."""
--- a/pearstep/federation/keys.py
+++ b/pearstep/federation/keys.py
@@ -3,8 +3,8 @@
 A folder holds ``authority.pem`` and ``authority.key``; ``issued/SERIAL.pem`` and ``.key``; ``current.pem``
 and ``current.key``, which the link uses; ``revoked.pem`` (a list of revoked certificates, signed);
 ``trusted/NAME.pem``, the authority of the peer NAME, with ``trusted/NAME.crl`` once that peer has revoked
-something. A peer is who its certificate names, and only the authority that is trusted under that name may
-say so.
+a certificate. A peer is identified by the name in its certificate, which only the authority that is trusted
+under that name may issue.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 
 
 class SiteKeyError(Exception):
-    """What is wrong with a key or a folder of keys, and what to do; one line."""
+    """A key or a folder of keys is invalid; the text is one line and says what to do."""
 
 
 class Issued(msgspec.Struct):
-    """A certificate as it is shown."""
+    """A certificate as it is shown to operators."""
 
     serial: str
     name: str
@@ -59,15 +59,15 @@
 
 
 def _write(path: Path, data: bytes, secret: bool = False) -> None:
-    """Whole or not at all; secrets only for their owner, from the first byte on."""
-    beside = path.with_name(path.name + ".new")
-    beside.unlink(missing_ok=True)
-    fd = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644)
+    """Write a file atomically; a secret is readable by its owner only from its creation on."""
+    temporary_path = path.with_name(path.name + ".new")
+    temporary_path.unlink(missing_ok=True)
+    fd = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644)
     with os.fdopen(fd, "wb") as out:
         out.write(data)
         out.flush()
         os.fsync(out.fileno())
-    os.replace(beside, path)
+    os.replace(temporary_path, path)
 
 
 def _pem(key: ec.EllipticCurvePrivateKey) -> bytes:
@@ -85,7 +85,10 @@
 
     @classmethod
     def init(cls, root: str | Path, name: str) -> Keys:
-        """Make a site's authority. A folder that has one is left as it is: a second would cut all peers."""
+        """Create a site's authority.
+
+        A folder that has one is left as it is: a second one would end the trust of all peers.
+        """
         keys = cls(root)
         if not NAME.match(name):
             raise SiteKeyError(f"{name!r}: a site's name has a-z, 0-9 and -")
@@ -164,12 +167,12 @@
         pem = cert.public_bytes(serialization.Encoding.PEM)
         _write(self.root / "issued" / f"{serial}.key", _pem(key), secret=True)
         _write(self.root / "issued" / f"{serial}.pem", pem)
-        # Key and certificate in one file: there is no moment with one of them new and the other old.
+        # Key and certificate are in one file, so that they are replaced together.
         _write(self.root / "current.pem", pem + _pem(key), secret=True)
         return next(i for i in self.show() if i.serial == serial)
 
     def revoke(self, serial: str) -> None:
-        """Never accept a certificate again. Peers learn it from this site's list: `trusted/NAME.crl`."""
+        """Revoke a certificate for good; peers read this from the site's list, `trusted/NAME.crl`."""
         path = self.root / "issued" / f"{serial}.pem"
         if not re.fullmatch(r"[0-9a-f]+", serial) or not path.exists():
             raise SiteKeyError(f"no certificate {serial} was issued here; see `pearstep keys show`")
@@ -177,7 +180,7 @@
 
     def _revoked(self) -> list[int]:
         crl = x509.load_pem_x509_crl((self.root / "revoked.pem").read_bytes())
-        return [one.serial_number for one in crl]
+        return [revoked.serial_number for revoked in crl]
 
     def _write_revoked(self, serials: list[int]) -> None:
         now = _now()
@@ -197,7 +200,7 @@
     def trust(self, name: str, authority: bytes, revoked: bytes | None = None) -> None:
         """Accept a peer's authority, and its list of revoked certificates, under the peer's name.
 
-        A list that the authority did not sign, or that is older than the one known, is refused.
+        A list that the authority did not sign, or that is older than the stored one, is refused.
         """
         try:
             cert = x509.load_pem_x509_certificate(authority)
@@ -207,20 +210,20 @@
             raise SiteKeyError(f"this is the authority of {_common_name(cert)!r}, not of {name!r}")
         if name == self.site:
             raise SiteKeyError(f"{name!r} is this site's own name")
-        known = self.root / "trusted" / f"{name}.pem"
-        if known.exists() and x509.load_pem_x509_certificate(known.read_bytes()) != cert:
+        trusted_path = self.root / "trusted" / f"{name}.pem"
+        if trusted_path.exists() and x509.load_pem_x509_certificate(trusted_path.read_bytes()) != cert:
             raise SiteKeyError(
                 f"another authority is trusted as {name}; `pearstep keys distrust {name}` first"
             )
         if revoked is not None:
-            self._take_list(name, cert, revoked)
-        _write(known, authority)
+            self._store_revocation_list(name, cert, revoked)
+        _write(trusted_path, authority)
 
-    def _take_list(self, name: str, cert: x509.Certificate, revoked: bytes) -> None:
+    def _store_revocation_list(self, name: str, cert: x509.Certificate, revoked: bytes) -> None:
         crl = x509.load_pem_x509_crl(revoked)
-        public = cert.public_key()
-        assert isinstance(public, ec.EllipticCurvePublicKey)
-        if not crl.is_signature_valid(public):
+        public_key = cert.public_key()
+        assert isinstance(public_key, ec.EllipticCurvePublicKey)
+        if not crl.is_signature_valid(public_key):
             raise SiteKeyError(f"{name}: this list was not signed by its authority")
         path = self.root / "trusted" / f"{name}.crl"
         if path.exists():
@@ -230,26 +233,26 @@
         _write(path, revoked)
 
     def distrust(self, name: str) -> None:
-        """Accept nobody under this name any more."""
-        for end in (".pem", ".crl"):
-            (self.root / "trusted" / f"{name}{end}").unlink(missing_ok=True)
+        """Stop trusting the peer of this name."""
+        for suffix in (".pem", ".crl"):
+            (self.root / "trusted" / f"{name}{suffix}").unlink(missing_ok=True)
 
     def peers(self) -> list[str]:
-        """Whose authority is trusted."""
+        """Return the names of the peers whose authority is trusted."""
         return sorted(p.stem for p in (self.root / "trusted").glob("*.pem"))
 
     def show(self) -> list[Issued]:
-        """All certificates of this site, the newest first."""
+        """Return all certificates of this site, the newest first."""
         now, revoked = _now(), set(self._revoked())
         current = self._current()
         out = []
         for path in (self.root / "issued").glob("*.pem"):
             cert = x509.load_pem_x509_certificate(path.read_bytes())
-            left = (cert.not_valid_after_utc - now).total_seconds() / 86_400
+            days_left = (cert.not_valid_after_utc - now).total_seconds() / 86_400
             state = "earlier"
             if cert.serial_number in revoked:
                 state = "revoked"
-            elif left <= 0:
+            elif days_left <= 0:
                 state = "expired"
             elif cert.serial_number == current:
                 state = "current"
@@ -259,7 +262,7 @@
                     self.site,
                     cert.not_valid_before_utc.isoformat(),
                     cert.not_valid_after_utc.isoformat(),
-                    round(left, 2),
+                    round(days_left, 2),
                     state,
                 )
             )
@@ -270,19 +273,19 @@
         return x509.load_pem_x509_certificate(path.read_bytes()).serial_number if path.exists() else 0
 
     def warnings(self, days: float = 14.0) -> list[str]:
-        """What an operator should see to soon."""
+        """Return warnings on certificates that are invalid or expire soon."""
         out = []
         current = next((i for i in self.show() if i.serial == f"{self._current():x}"), None)
         if current is None or current.state in ("expired", "revoked"):
-            why = current.state if current else "none issued"
-            out.append(f"no valid certificate ({why}): `pearstep keys rotate`")
+            reason = current.state if current else "none issued"
+            out.append(f"no valid certificate ({reason}): `pearstep keys rotate`")
         elif current.days_left < days:
             out.append(f"the certificate ends in {current.days_left:.1f} days: `pearstep keys rotate`")
         for name in self.peers():
             cert = x509.load_pem_x509_certificate((self.root / "trusted" / f"{name}.pem").read_bytes())
-            left = (cert.not_valid_after_utc - _now()).total_seconds() / 86_400
-            if left < 4 * days:
-                out.append(f"the authority of {name} ends in {left:.0f} days: ask for its next one")
+            days_left = (cert.not_valid_after_utc - _now()).total_seconds() / 86_400
+            if days_left < 4 * days:
+                out.append(f"the authority of {name} ends in {days_left:.0f} days: ask for its next one")
         return out
 
     # -- links -----------------------------------------------------------------------------------
@@ -331,8 +334,8 @@
             raise SiteKeyError(f"this certificate of {name!r} was not issued by its authority") from None
         path = self.root / "trusted" / f"{name}.crl"
         if path.exists():
-            found = x509.load_pem_x509_crl(path.read_bytes())
-            if found.get_revoked_certificate_by_serial_number(cert.serial_number) is not None:
+            crl = x509.load_pem_x509_crl(path.read_bytes())
+            if crl.get_revoked_certificate_by_serial_number(cert.serial_number) is not None:
                 raise SiteKeyError(f"this certificate of {name!r} is revoked")
         return name
 
@@ -351,10 +354,10 @@
 
 
 def _common_name(cert: x509.Certificate) -> str:
-    found = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
-    return str(found[0].value) if found else ""
+    attributes = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
+    return str(attributes[0].value) if attributes else ""
 
 
 def server_name(peer: str) -> str:
-    """The name that a peer's certificate must bear."""
+    """Return the host name that a peer's certificate must have."""
     return peer + DOMAIN
--- a/pearstep/federation/settings.py
+++ b/pearstep/federation/settings.py
@@ -17,7 +17,7 @@
 
 
 class Patience(msgspec.Struct, forbid_unknown_fields=True):
-    """The silence after which a peer is suspect, cut and gone, and the first backoff once it is back."""
+    """Silence after which a peer is suspect, unreachable and gone, and the first backoff once it answers."""
 
     suspect_s: Positive = 3.0
     cut_s: Positive = 15.0
@@ -41,13 +41,13 @@
     gain: NotNegative = 0.25
     least_gain_s: NotNegative = 5.0
     most_price: Positive = 2.0
-    # Classes whose work may run twice: after so much silence it is taken back.
+    # Classes whose tasks may run twice, with the silence after which they are taken back.
     terms_s: dict[str, Positive] = {}
     most_under_way: PositiveInt = 32
     most_returns: PositiveInt = 3
 
     def policy(self) -> Policy:
-        """Return the settings as the decisions take them."""
+        """Return the policy for the selection of offloads."""
         return Policy(
             frozenset(self.classes),
             frozenset(self.keep_classes),
