--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -23,7 +23,7 @@
 from pearstep.federation.offload_transactions import local_job_id, remote_job_record, remote_transaction
 from pearstep.federation.terms import Term
 from pearstep.state.records import JobRecord
-from tests.test_lending import Cluster
+from tests.test_offload_transactions import Cluster
 from tests.world import World, spec
 
 TERM_US, LEASE_US, MARGIN_US = 200 * SECOND_US, 16 * SECOND_US, 5 * SECOND_US
