--- a/tests/test_offload_transactions.py
+++ b/tests/test_offload_transactions.py
@@ -1,5 +1,6 @@
-"""Lending's place in a controller: what is written with a loan, who may cancel, what is reckoned. Two
-clusters of records, each with its own revision, whose leaders, users and owners act in generated order.
+"""Transactions of offloads: what is written with an offload, who may cancel, and the capacity estimates.
+
+Two clusters with separate records and revisions act in generated order.
 """
 
 import asyncio
@@ -43,148 +44,161 @@
 
 
 class Cluster:
-    """The records of a cluster, and a view of them."""
+    """The stored records of a cluster, with a replica and a ledger that follow them."""
 
     def __init__(self):
-        self.ledger = Ledger()
-        self.view = Replica()
+        self.store = Ledger()
+        self.replica = Replica()
         self.changed = []
-        self.loans = OffloadRecords(self.view, self.changed.append)
-        self.books = OffloadLedger(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
-        self.books.follow_records(
-            self.loans.origin_records,
-            self.loans.remote_records,
-            self.loans.open_origin,
-            self.loans.open_remote,
+        self.records = OffloadRecords(self.replica, self.changed.append)
+        self.ledger = OffloadLedger(7, {"huye": Grant(100, 100, 1000)}, 30 * S)
+        self.ledger.follow_records(
+            self.records.origin_records,
+            self.records.remote_records,
+            self.records.open_origin,
+            self.records.open_remote,
         )
 
     def write(self, writes):
         if writes is None:
             return False
         puts, conditions = writes
-        outcome = self.ledger.txn(conditions, {k: msgspec.to_builtins(v) for k, v in puts.items()})
+        outcome = self.store.txn(conditions, {k: msgspec.to_builtins(v) for k, v in puts.items()})
         if not isinstance(outcome, int):
             return False
         for key, value in puts.items():
-            self.view.put(key, outcome, msgspec.json.encode(value), 0)
+            self.replica.put(key, outcome, msgspec.json.encode(value), 0)
         return True
 
     def put(self, key, value):
         assert self.write(({key: value}, {}))
 
-    def home(self, entry):
-        return entry is not None and self.write(origin_transaction(self.view, entry.key[2:], entry, 9))
+    def commit_origin(self, entry):
+        return entry is not None and self.write(origin_transaction(self.replica, entry.key[2:], entry, 9))
 
-    def guest(self, entry):
+    def commit_remote(self, entry):
         _, peer, ref = entry.key.split("/")
-        return self.write(remote_transaction(self.view, peer, ref, entry, 9))
+        return self.write(remote_transaction(self.replica, peer, ref, entry, 9))
 
     def job(self, **fields):
-        one = spec(job_id="req-1", **fields)
-        self.put("j/req-1", JobRecord(one, 1))
-        return self.view.jobs["req-1"]
+        job_spec = spec(job_id="req-1", **fields)
+        self.put("j/req-1", JobRecord(job_spec, 1))
+        return self.replica.jobs["req-1"]
 
-    def offer(self, job, rows):
-        return self.books.offer(
+    def offer(self, job, task_count):
+        return self.ledger.offer(
             "req-1",
             job.spec.tasks,
             NEED,
-            PlannedOffer("req-1", "kigali", rows),
+            PlannedOffer("req-1", "kigali", task_count),
             job.placed_tasks | job.done_tasks,
             False,
             job.spec,
         )
 
 
-def hear(cluster, kind, **fields):
-    loan = cluster.loans.origin_records["req-1"].offload
-    return cluster.books.change_origin(
-        "req-1", handoff.receive_at_origin(loan, handoff.Message(kind, loan.number, **fields))
+def origin_entry(cluster, kind, **fields):
+    offload = cluster.records.origin_records["req-1"].offload
+    return cluster.ledger.change_origin(
+        "req-1", handoff.receive_at_origin(offload, handoff.Message(kind, offload.number, **fields))
     )
 
 
-def test_an_offer_takes_the_route_away_and_what_was_placed_meanwhile_stays():
-    one = Cluster()
-    job = one.job(kind="array", tasks=4)
-    one.put("r/0/req-1", RouteRecord("0-3"))
-    entry = one.offer(job, 2)
-    # The owner places a task after the decision, before the write: the offer does not stand.
-    one.ledger.txn(
+def test_an_offer_removes_routes_and_fails_if_a_task_was_placed_meanwhile():
+    cluster = Cluster()
+    job = cluster.job(kind="array", tasks=4)
+    cluster.put("r/0/req-1", RouteRecord("0-3"))
+    entry = cluster.offer(job, 2)
+    # The shard owner places a task between the decision and the write: the offer is not committed.
+    cluster.store.txn(
         {},
         {"p/0/req-1/0": msgspec.to_builtins(PlacementRecord({0: Placement("i-1", 1, 1, 1)}, last_attempt=1))},
     )
-    assert not one.home(entry) and not job.offloaded_tasks and job.routed_tasks == 0b1111
+    assert not cluster.commit_origin(entry) and not job.offloaded_tasks and job.routed_tasks == 0b1111
     placed = msgspec.json.encode(PlacementRecord({0: Placement("i-1", 1, 1, 1)}))
-    one.view.put("p/0/req-1/0", one.ledger.revision, placed, 0)
-    assert one.home(one.offer(job, 2))
-    # The running task is not among what is lent, and what is lent is not routed.
+    cluster.replica.put("p/0/req-1/0", cluster.store.revision, placed, 0)
+    assert cluster.commit_origin(cluster.offer(job, 2))
+    # The running task is not offloaded, and offloaded tasks are not routed.
     assert job.offloaded_tasks == 0b0110 and job.routed_tasks == 0b1001
 
 
-def test_a_cancellation_and_a_grant_cannot_both_stand():
+def test_a_cancellation_and_a_grant_cannot_both_be_committed():
     for first in ("cancel", "grant"):
-        one = Cluster()
-        job = one.job(kind="array", tasks=2)
-        assert one.home(one.offer(job, 2))
-        grant = hear(one, handoff.ACCEPT)
-        # Any node: under the conditions that it was told.
-        stamps = {"j/req-1": job.version, "l/req-1": one.view.version_of("l/req-1")}
-        cancel = ({"j/req-1": JobRecord(job.spec, 1, JobState.CANCELLED, 2)}, stamps)
+        cluster = Cluster()
+        job = cluster.job(kind="array", tasks=2)
+        assert cluster.commit_origin(cluster.offer(job, 2))
+        grant = origin_entry(cluster, handoff.ACCEPT)
+        # Any controller cancels under the conditions that it was given.
+        conditions = {"j/req-1": job.version, "l/req-1": cluster.replica.version_of("l/req-1")}
+        cancel = ({"j/req-1": JobRecord(job.spec, 1, JobState.CANCELLED, 2)}, conditions)
         granted, cancelled = (
-            (one.home(grant), one.write(cancel))
+            (cluster.commit_origin(grant), cluster.write(cancel))
             if first == "grant"
-            else (one.write(cancel), one.home(grant))[::-1]
+            else (cluster.write(cancel), cluster.commit_origin(grant))[::-1]
         )
         assert granted != cancelled
         assert job.is_final == cancelled
-        assert one.loans.origin_records["req-1"].offload.state == (
+        assert cluster.records.origin_records["req-1"].offload.state == (
             handoff.GRANTED if granted else handoff.OFFERED
         )
 
 
-def test_a_lent_job_that_is_cancelled_ends_with_the_guests_word():
-    one = Cluster()
-    job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
-    # What any node writes when a user cancels: the wish alone.
-    book = one.loans.origin_records["req-1"]
-    one.put("l/req-1", msgspec.structs.replace(book, offload=handoff.cancel(book.offload)[0]))
+def test_cancelling_an_offloaded_job_completes_with_the_remote_answer():
+    cluster = Cluster()
+    job = cluster.job(kind="array", tasks=3)
+    assert cluster.commit_origin(cluster.offer(job, 2)) and cluster.commit_origin(
+        origin_entry(cluster, handoff.ACCEPT)
+    )
+    # When a user cancels, any controller writes the request only.
+    record = cluster.records.origin_records["req-1"]
+    cluster.put("l/req-1", msgspec.structs.replace(record, offload=handoff.cancel(record.offload)[0]))
     assert (
         job.state == JobState.QUEUED
         and job.offloaded_tasks == job.spec.all_tasks
         and not job.has_waiting_tasks
     )
-    assert "l/req-1" in one.changed and one.loans.origin_records["req-1"].offload.state == handoff.RECALLING
-    assert one.home(hear(one, handoff.ENDED, task_mask=0b011, done_mask=0b001))
-    assert job.state == JobState.CANCELLED and one.loans.open_origin == set()
+    assert (
+        "l/req-1" in cluster.changed
+        and cluster.records.origin_records["req-1"].offload.state == handoff.RECALLING
+    )
+    assert cluster.commit_origin(origin_entry(cluster, handoff.ENDED, task_mask=0b011, done_mask=0b001))
+    assert job.state == JobState.CANCELLED and cluster.records.open_origin == set()
 
 
-def test_the_last_result_ends_the_job_wherever_it_comes_from():
-    one = Cluster()
-    job = one.job(kind="array", tasks=3)
-    assert one.home(one.offer(job, 2)) and one.home(hear(one, handoff.ACCEPT))
-    one.put("r/0/req-1", RouteRecord("2"))
-    one.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
+def test_the_last_result_ends_the_job_from_either_cluster():
+    cluster = Cluster()
+    job = cluster.job(kind="array", tasks=3)
+    assert cluster.commit_origin(cluster.offer(job, 2)) and cluster.commit_origin(
+        origin_entry(cluster, handoff.ACCEPT)
+    )
+    cluster.put("r/0/req-1", RouteRecord("2"))
+    cluster.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.state == JobState.QUEUED and job.done_tasks == 0b100
-    assert one.home(hear(one, handoff.RESULT, task_mask=0b011, done_mask=0b011))
-    assert job.state == JobState.DONE and one.loans.origin_records["req-1"].offload.done_mask == 0b011
+    assert cluster.commit_origin(origin_entry(cluster, handoff.RESULT, task_mask=0b011, done_mask=0b011))
+    assert job.state == JobState.DONE and cluster.records.origin_records["req-1"].offload.done_mask == 0b011
     other = Cluster()
     job = other.job(kind="array", tasks=3)
-    assert other.home(other.offer(job, 2)) and other.home(hear(other, handoff.ACCEPT))
-    assert other.home(hear(other, handoff.RESULT, task_mask=0b011, done_mask=0b011))
-    # Its own task still runs: its owner will find the job complete.
+    assert other.commit_origin(other.offer(job, 2)) and other.commit_origin(
+        origin_entry(other, handoff.ACCEPT)
+    )
+    assert other.commit_origin(origin_entry(other, handoff.RESULT, task_mask=0b011, done_mask=0b011))
+    # The task of this cluster still runs: its shard owner will find the job complete.
     assert job.state == JobState.QUEUED and job.done_tasks == 0b011 and not job.offloaded_tasks
     other.put("p/0/req-1/0", PlacementRecord({}, "4", 1))
     assert job.all_tasks_done
 
 
-def test_what_is_borrowed_runs_with_the_numbers_of_home_and_in_no_aim_of_ours():
-    there = Cluster()
-    one = spec(job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5)
-    book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, one)
-    rec = remote_job_record("huye", "req-5", book, 50)
-    there.put("j/" + rec.spec.job_id, rec)
-    job = there.view.jobs["lent-huye-5-9"]
+def test_a_remote_job_keeps_task_numbers_and_has_no_local_objective():
+    remote = Cluster()
+    job_spec = spec(
+        job_id="req-5", kind="array", tasks=6, priority=0, team="t", job_class="urgent", deadline_us=5
+    )
+    record = RemoteRecord(
+        handoff.RemoteOffload(handoff.HOLDING, 9, 0b011000, highest_number=9), NEED, 3, job_spec
+    )
+    job_record = remote_job_record("huye", "req-5", record, 50)
+    remote.put("j/" + job_record.spec.job_id, job_record)
+    job = remote.replica.jobs["lent-huye-5-9"]
     assert job.spec.team == "peer:huye" and job.spec.priority == 3 and job.spec.deadline_us is None
     assert (
         job.spec.all_tasks & ~job.done_tasks == 0b011000
@@ -193,65 +207,67 @@
         and job.consecutive_failures == 0
     )
     assert home_name(job.spec.job_id) == "req-5" and home_name("req-5") == "req-5"
-    leader = RoutePlanner(1, there.view, TYPES, {"t": Team("t")}, 1, 12, {"urgent": (1,)})
-    assert leader.ordered_jobs(0, 60) == [job]
-    there.put("p/0/lent-huye-5-9/0", PlacementRecord({}, f"{0b011000:x}", 1))
+    planner = RoutePlanner(1, remote.replica, TYPES, {"t": Team("t")}, 1, 12, {"urgent": (1,)})
+    assert planner.ordered_jobs(0, 60) == [job]
+    remote.put("p/0/lent-huye-5-9/0", PlacementRecord({}, f"{0b011000:x}", 1))
     assert job.all_tasks_done
-    assert remote_job_record("huye", "req-5", msgspec.structs.replace(book, spec=None), 0) is None
+    assert remote_job_record("huye", "req-5", msgspec.structs.replace(record, spec=None), 0) is None
 
 
-def test_stopping_a_loan_and_beginning_its_job_cannot_both_stand():
-    one = spec(job_id="req-5", kind="array", tasks=2)
+def test_stopping_an_offload_and_creating_its_job_cannot_both_be_committed():
+    job_spec = spec(job_id="req-5", kind="array", tasks=2)
     for first in ("begin", "stop"):
-        there = Cluster()
-        book = RemoteRecord(handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, one)
-        there.put("g/huye/req-5", book)
+        remote = Cluster()
+        record = RemoteRecord(
+            handoff.RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), NEED, 3, job_spec
+        )
+        remote.put("g/huye/req-5", record)
         local = "j/" + local_job_id("huye", "req-5", 9)
         begin = (
-            {local: remote_job_record("huye", "req-5", book, 5)},
-            {"g/huye/req-5": there.view.version_of("g/huye/req-5"), local: 0},
+            {local: remote_job_record("huye", "req-5", record, 5)},
+            {"g/huye/req-5": remote.replica.version_of("g/huye/req-5"), local: 0},
         )
-        stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
+        stop = remote.ledger.change_remote("huye", "req-5", (handoff.begin_return(record.offload), []))
         if first == "begin":
-            assert there.write(begin)
-            # Decided before the job was there, written after: it withdraws the job as well.
-            assert there.guest(stop)
-            assert there.view.jobs[local[2:]].state == JobState.CANCELLED
-            # Of our own accord it is stopped with time to save, and withdrawn once nothing of it runs.
-            there = Cluster()
-            there.put("g/huye/req-5", book)
-            there.put(local, remote_job_record("huye", "req-5", book, 5))
-            stop = there.books.change_remote("huye", "req-5", (handoff.begin_return(book.offload), []))
+            assert remote.write(begin)
+            # The stop, decided before the job was created and written after, cancels the job as well.
+            assert remote.commit_remote(stop)
+            assert remote.replica.jobs[local[2:]].state == JobState.CANCELLED
+            # Without a recall the job is stopped with time for a checkpoint, and cancelled once no task runs.
+            remote = Cluster()
+            remote.put("g/huye/req-5", record)
+            remote.put(local, remote_job_record("huye", "req-5", record, 5))
+            stop = remote.ledger.change_remote("huye", "req-5", (handoff.begin_return(record.offload), []))
             stop.graceful = True
-            assert there.write(remote_transaction(there.view, "huye", "req-5", stop, 50 * S))
-            job = there.view.jobs[local[2:]]
+            assert remote.write(remote_transaction(remote.replica, "huye", "req-5", stop, 50 * S))
+            job = remote.replica.jobs[local[2:]]
             assert job.state == JobState.QUEUED and job.past_run_limit(49 * S)
-            held = there.loans.remote_records["huye", "req-5"].offload
-            gone = there.books.change_remote("huye", "req-5", handoff.all_tasks_stopped(held))
-            assert there.guest(gone) and job.state == JobState.CANCELLED
+            held = remote.records.remote_records["huye", "req-5"].offload
+            gone = remote.ledger.change_remote("huye", "req-5", handoff.all_tasks_stopped(held))
+            assert remote.commit_remote(gone) and job.state == JobState.CANCELLED
         else:
-            assert there.guest(stop) and not there.write(begin)
-            assert local[2:] not in there.view.jobs
+            assert remote.commit_remote(stop) and not remote.write(begin)
+            assert local[2:] not in remote.replica.jobs
 
 
-def test_loans_that_are_read_before_their_job_are_known_once_they_are_marked():
-    one = Cluster()
-    job = one.job(kind="array", tasks=2)
-    assert one.home(one.offer(job, 2))
-    late = Replica()
-    loans = OffloadRecords(late, lambda key: None)
+def test_an_offload_read_before_its_job_is_applied_when_marked():
+    cluster = Cluster()
+    job = cluster.job(kind="array", tasks=2)
+    assert cluster.commit_origin(cluster.offer(job, 2))
+    late_replica = Replica()
+    records = OffloadRecords(late_replica, lambda key: None)
     for key in ("l/req-1", "j/req-1"):
-        stamp, raw = next((s, raw) for s, k, raw in reversed(one.ledger.log) if k == key)
-        late.put(key, stamp, raw, 0)
-    loans.mark_offloaded_tasks("req-1")
-    assert late.jobs["req-1"].offloaded_tasks == 0b11
-    late.delete("l/req-1", one.ledger.revision + 1)
-    assert late.jobs["req-1"].offloaded_tasks == 0 and not loans.open_origin
+        revision, raw = next((s, raw) for s, k, raw in reversed(cluster.store.log) if k == key)
+        late_replica.put(key, revision, raw, 0)
+    records.mark_offloaded_tasks("req-1")
+    assert late_replica.jobs["req-1"].offloaded_tasks == 0b11
+    late_replica.delete("l/req-1", cluster.store.revision + 1)
+    assert late_replica.jobs["req-1"].offloaded_tasks == 0 and not records.open_origin
 
 
-def test_a_node_without_lending_says_so_when_there_are_loans():
-    view = Replica()
-    assert not view.put("l/req-1", 3, b"{}", 0) and view.has_unread_offloads
+def test_a_controller_without_federation_reports_unread_offloads():
+    replica = Replica()
+    assert not replica.put("l/req-1", 3, b"{}", 0) and replica.has_unread_offloads
     assert not Replica().has_unread_offloads
 
 
@@ -260,14 +276,14 @@
     st.integers(0, 12),
     st.integers(0, 10),
 )
-def test_what_gives_way_covers_what_waits_and_no_more(rows, wants, waited):
-    loans, jobs = [], {}
+def test_returned_offloads_cover_the_waiting_demand_and_no_more(rows, wanted_cpus, waited_s):
+    offloads, jobs = [], {}
     for i, (since, running, holding) in enumerate(rows):
-        one = spec(job_id=f"lent-huye-{i}-1", kind="array", tasks=5, cpus=1.0)
-        job = Job(JobRecord(one, 0), 1, 0)
+        job_spec = spec(job_id=f"lent-huye-{i}-1", kind="array", tasks=5, cpus=1.0)
+        job = Job(JobRecord(job_spec, 0), 1, 0)
         job.placed_tasks = (1 << running) - 1
         state = handoff.HOLDING if holding else handoff.STOPPING
-        loans.append(
+        offloads.append(
             (
                 ("huye", f"req-{i}"),
                 RemoteRecord(handoff.RemoteOffload(state, 1, 31), ResourceAmounts(1, 0, 0), since),
@@ -275,62 +291,64 @@
             )
         )
         jobs["huye", f"req-{i}"] = (since, running, holding)
-    seen = CapacityEstimate(own_demand=(float(wants), 0.0, 0.0), own_waiting_since_us=0 if wants else None)
-    out = offloads_to_return(seen, loans, waited * S, 5 * S, 10**12, 0)
+    estimate = CapacityEstimate(
+        own_demand=(float(wanted_cpus), 0.0, 0.0), own_waiting_since_us=0 if wanted_cpus else None
+    )
+    out = offloads_to_return(estimate, offloads, waited_s * S, 5 * S, 10**12, 0)
     assert all(jobs[name][2] and jobs[name][1] for name in out)
     freed = sum(jobs[name][1] for name in out)
-    there = sum(running for _, running, holding in jobs.values() if holding)
-    if waited < 5 or not wants:
+    returnable = sum(running for _, running, holding in jobs.values() if holding)
+    if waited_s < 5 or not wanted_cpus:
         assert out == []
     else:
-        assert freed >= min(wants, there)
-        # None of it was in vain: without the last one it would not have been enough.
-        assert not out or freed - jobs[out[-1]][1] < wants
+        assert freed >= min(wanted_cpus, returnable)
+        # No offload is returned needlessly: without the last one the demand would not be covered.
+        assert not out or freed - jobs[out[-1]][1] < wanted_cpus
         assert [jobs[n][0] for n in out] == sorted((jobs[n][0] for n in out), reverse=True)
     idle = [name for name, (_, running, holding) in jobs.items() if holding and not running]
-    assert sorted(offloads_to_return(CapacityEstimate(), loans, 0, 5 * S, 0, 0)) == sorted(idle)
+    assert sorted(offloads_to_return(CapacityEstimate(), offloads, 0, 5 * S, 0, 0)) == sorted(idle)
 
 
-def test_what_is_offered_is_idle_and_nobody_waits_for_it():
-    seen = CapacityEstimate(free=(50, 0, 100), own_demand=(20, 0, 0), peer_demand=(10, 0, 0))
+def test_offered_capacity_is_idle_and_not_in_demand():
+    estimate = CapacityEstimate(free=(50, 0, 100), own_demand=(20, 0, 0), peer_demand=(10, 0, 0))
     zero = (0.0, 0.0, 0.0)
     grant = Grant(100, 0, 100, spare=0)
-    assert capacity_for_peer(grant, seen, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
-    assert capacity_for_peer(grant, seen, zero, zero, True) == zero
-    # What may be rented is offered whether it is there or not, less what is held.
+    assert capacity_for_peer(grant, estimate, zero, (5.0, 0.0, 0.0), False) == (15, 0, 100)
+    assert capacity_for_peer(grant, estimate, zero, zero, True) == zero
+    # Rentable capacity is offered even if no machine is up, less the part that is in use.
     idle = CapacityEstimate(free=(0, 0, 0))
     assert capacity_for_peer(Grant(30, 0, 30, rent=True), idle, (10.0, 0.0, 40.0), zero, False) == (20, 0, 0)
-    # But not while own work waits: all that there is to rent is rented.
-    assert capacity_for_peer(Grant(30, 0, 30, rent=True), seen, zero, zero, False) == zero
+    # It is not offered while own work waits, which takes all machines that can be rented.
+    assert capacity_for_peer(Grant(30, 0, 30, rent=True), estimate, zero, zero, False) == zero
 
 
-def world_with(tasks, machines, running):
-    one = Cluster()
+def cluster_with_running_job(tasks, machines, running):
+    cluster = Cluster()
     from pearstep.state.records import LeaseHolderRecord, MachineRecord
 
-    one.put("part/0", LeaseHolderRecord("a"))
+    cluster.put("part/0", LeaseHolderRecord("a"))
     kind = next(iter(TYPES.values()))
     for i in range(machines):
-        one.put(f"m/0/i-{i}", MachineRecord(kind.name, "a", False, "x"))
+        cluster.put(f"m/0/i-{i}", MachineRecord(kind.name, "a", False, "x"))
     busy = spec(
         job_id="req-9", kind="array", tasks=machines, cpus=kind.cpus, memory_gb=1.0, estimate_us=100 * S
     )
-    one.put("j/req-9", JobRecord(busy, 0))
+    cluster.put("j/req-9", JobRecord(busy, 0))
     places = {i: Placement(f"i-{i}", 1, 1, 0) for i in range(running)}
-    one.put("r/0/req-9", RouteRecord(f"0-{machines - 1}"))
-    one.put("p/0/req-9/0", PlacementRecord(places, "0", 1))
-    return one, kind
+    cluster.put("r/0/req-9", RouteRecord(f"0-{machines - 1}"))
+    cluster.put("p/0/req-9/0", PlacementRecord(places, "0", 1))
+    return cluster, kind
 
 
-def test_what_waits_is_reckoned_behind_what_runs():
-    one, kind = world_with(2, 2, 2)
-    one.put(
+def test_start_estimates_account_for_running_jobs():
+    cluster, kind = cluster_with_running_job(2, 2, 2)
+    cluster.put(
         "j/req-1",
         JobRecord(
             spec(job_id="req-1", kind="gang", tasks=2, cpus=kind.cpus, memory_gb=1.0, estimate_us=50 * S), 0
         ),
     )
-    one.put(
+    cluster.put(
         "j/req-2",
         JobRecord(
             spec(
@@ -345,19 +363,19 @@
             1,
         ),
     )
-    leader = RoutePlanner(1, one.view, TYPES, {"t": Team("t")}, 1, 12, {})
-    leader.plan(20 * S, 0, 20 * S)
-    rows = waiting_with_estimates(leader, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
-    # Both machines are free at 100 s. What is bound to a zone of ours stays, but keeps its turn.
+    planner = RoutePlanner(1, cluster.replica, TYPES, {"t": Team("t")}, 1, 12, {})
+    planner.plan(20 * S, 0, 20 * S)
+    rows = waiting_with_estimates(planner, 1, {}, 30 * S, 10 * S, {"req-1": 2}, 20 * S, 20 * S)
+    # Both machines are free at 100 s. A job bound to a local zone isn't offloaded, but keeps its place.
     assert [(w.ref, w.start_us, w.objective_us, w.task_count, w.is_queue_head, w.returned) for w in rows] == [
         ("req-1", 80 * S, 10 * S, 2, True, 2)
     ]
-    assert waiting_with_estimates(leader, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
-    assert not can_run_elsewhere(one.view.jobs["req-2"])
+    assert waiting_with_estimates(planner, 1, {}, 30 * S, 25 * S, {}, 20 * S, 20 * S) == []
+    assert not can_run_elsewhere(cluster.replica.jobs["req-2"])
 
 
 @given(st.binary(max_size=30), st.lists(st.tuples(st.integers(0, 30), st.integers(1, 5)), max_size=4))
-def test_holes_stay_holes_when_a_log_is_carried_home(data, cuts):
+def test_holes_stay_holes_when_a_log_is_transferred(data, cuts):
     holes, at, kept = [], 0, bytearray(data)
     for gap, length in cuts:
         offset = at + gap
@@ -375,7 +393,7 @@
     assert [(o, n) for o, n, p in parts if p is None] == holes
 
 
-def test_names_of_what_is_lent():
+def test_ids_of_offloaded_jobs():
     local = local_job_id("huye", "req-42", 7)
     assert local == "lent-huye-42-7" and belongs_to_peer("huye", local)
     for peer in ("hu", "huye-42", "nyarugenge"):
@@ -399,129 +417,145 @@
             load(str(file))
 
 
-# -- two clusters, everything in generated order ------------------------------------------------
+# -- two clusters, all steps in generated order -------------------------------------------------
 
 
-class Both:
-    """Home and guest as their controllers act on them: each step is one transaction of one side."""
+class ClusterPair:
+    """The origin and the remote cluster; each step is one transaction of one of them."""
 
     def __init__(self):
-        self.home, self.there = Cluster(), Cluster()
-        self.wire = []
+        self.origin, self.remote = Cluster(), Cluster()
+        self.in_flight = []
         self.answers = []
-        self.ran = []
+        self.executions = []
 
-    def say(self, to, says):
-        self.wire += [(to, m) for m in says]
+    def send(self, to, messages):
+        self.in_flight += [(to, m) for m in messages]
 
     def do(self, cluster, write, entry, to):
         if entry is not None and write(entry):
-            self.say(to, [s.message for s in entry.messages])
+            self.send(to, [s.message for s in entry.messages])
             return True
         return False
 
-    def hear(self, to, message):
+    def deliver(self, to, message):
         if to == "guest":
-            book = self.there.loans.remote_records.get(("huye", "req-1")) or RemoteRecord(
+            record = self.remote.records.remote_records.get(("huye", "req-1")) or RemoteRecord(
                 handoff.RemoteOffload()
             )
-            loan, says = handoff.receive_at_remote(book.offload, message, True)
-            if loan == book.offload:
-                self.say("home", says)
+            offload, messages = handoff.receive_at_remote(record.offload, message, True)
+            if offload == record.offload:
+                self.send("home", messages)
                 return
-            one = self.home.view.jobs["req-1"].spec if loan.state == handoff.RESERVED else book.spec
-            entry = LedgerEntry("g/huye/req-1", book, RemoteRecord(loan, NEED, 0, one), "huye", [])
-            if self.there.guest(entry):
-                self.say("home", says)
+            submitted_spec = (
+                self.origin.replica.jobs["req-1"].spec if offload.state == handoff.RESERVED else record.spec
+            )
+            entry = LedgerEntry(
+                "g/huye/req-1", record, RemoteRecord(offload, NEED, 0, submitted_spec), "huye", []
+            )
+            if self.remote.commit_remote(entry):
+                self.send("home", messages)
             return
-        book = self.home.loans.origin_records.get("req-1")
-        if book is None:
+        record = self.origin.records.origin_records.get("req-1")
+        if record is None:
             return
-        loan, says = handoff.receive_at_origin(book.offload, message)
-        if loan == book.offload or self.home.home(
-            LedgerEntry("l/req-1", book, msgspec.structs.replace(book, offload=loan), "kigali", [])
+        offload, messages = handoff.receive_at_origin(record.offload, message)
+        if offload == record.offload or self.origin.commit_origin(
+            LedgerEntry("l/req-1", record, msgspec.structs.replace(record, offload=offload), "kigali", [])
         ):
-            self.say("guest", says)
+            self.send("guest", messages)
 
-    def local(self):
-        book = self.there.loans.remote_records.get(("huye", "req-1"))
-        if book is None:
+    def remote_state(self):
+        record = self.remote.records.remote_records.get(("huye", "req-1"))
+        if record is None:
             return None, None, None
-        name = local_job_id("huye", "req-1", book.offload.number)
-        return book, name, self.there.view.jobs.get(name)
-
-    def step(self, what):
-        job = self.home.view.jobs["req-1"]
-        book, name, there = self.local()
-        if what == "offer" and not job.is_final:
-            self.do(self.home, self.home.home, self.home.offer(job, 2), "guest")
-        elif what == "withdraw" and "req-1" in self.home.loans.open_origin:
-            loan = self.home.loans.origin_records["req-1"].offload
+        name = local_job_id("huye", "req-1", record.offload.number)
+        return record, name, self.remote.replica.jobs.get(name)
+
+    def step(self, action):
+        job = self.origin.replica.jobs["req-1"]
+        record, name, remote_job = self.remote_state()
+        if action == "offer" and not job.is_final:
+            self.do(self.origin, self.origin.commit_origin, self.origin.offer(job, 2), "guest")
+        elif action == "withdraw" and "req-1" in self.origin.records.open_origin:
+            offload = self.origin.records.origin_records["req-1"].offload
             self.do(
-                self.home,
-                self.home.home,
-                self.home.books.change_origin("req-1", handoff.withdraw(loan)),
+                self.origin,
+                self.origin.commit_origin,
+                self.origin.ledger.change_origin("req-1", handoff.withdraw(offload)),
                 "guest",
             )
-        elif what == "cancel" and not job.is_final:
-            mine = self.home.loans.origin_records.get("req-1")
-            if mine is not None and mine.offload.state in (handoff.GRANTED, handoff.RECALLING):
-                self.home.put(
-                    "l/req-1", msgspec.structs.replace(mine, offload=handoff.cancel(mine.offload)[0])
+        elif action == "cancel" and not job.is_final:
+            origin_record = self.origin.records.origin_records.get("req-1")
+            if origin_record is not None and origin_record.offload.state in (
+                handoff.GRANTED,
+                handoff.RECALLING,
+            ):
+                self.origin.put(
+                    "l/req-1",
+                    msgspec.structs.replace(origin_record, offload=handoff.cancel(origin_record.offload)[0]),
                 )
             else:
-                self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.CANCELLED, 2))
+                self.origin.put("j/req-1", JobRecord(job.spec, 1, JobState.CANCELLED, 2))
                 self.answers.append(JobState.CANCELLED)
-        elif what == "run here" and not job.is_final:
-            able = job.spec.all_tasks & ~job.done_tasks & ~job.offloaded_tasks
-            if able:
-                task = able.bit_length() - 1
-                self.ran.append(("home", task))
-                raw = PlacementRecord({}, f"{(job.done_tasks | 1 << task):x}", 1)
-                self.home.put("p/0/req-1/0", raw)
+        elif action == "run here" and not job.is_final:
+            runnable = job.spec.all_tasks & ~job.done_tasks & ~job.offloaded_tasks
+            if runnable:
+                task = runnable.bit_length() - 1
+                self.executions.append(("home", task))
+                placements = PlacementRecord({}, f"{(job.done_tasks | 1 << task):x}", 1)
+                self.origin.put("p/0/req-1/0", placements)
                 if job.all_tasks_done and job.state == JobState.QUEUED:
-                    self.home.put("j/req-1", JobRecord(job.spec, 1, JobState.DONE, 2))
-        elif what == "begin" and book is not None and there is None:
-            rec = remote_job_record("huye", "req-1", book, 0)
-            if rec is not None:
+                    self.origin.put("j/req-1", JobRecord(job.spec, 1, JobState.DONE, 2))
+        elif action == "begin" and record is not None and remote_job is None:
+            job_record = remote_job_record("huye", "req-1", record, 0)
+            if job_record is not None:
                 key = "g/huye/req-1"
-                self.there.write(({f"j/{name}": rec}, {key: self.there.view.version_of(key), f"j/{name}": 0}))
-        elif what == "run there" and there is not None and not there.is_final:
-            able = there.spec.all_tasks & ~there.done_tasks
-            if able:
-                task = able.bit_length() - 1
-                self.ran.append(("guest", task))
-                self.there.put(f"p/0/{name}/0", PlacementRecord({}, f"{there.done_tasks | 1 << task:x}", 1))
-                if there.all_tasks_done:
-                    self.there.put(f"j/{name}", JobRecord(there.spec, 1, JobState.DONE, 2))
-        elif what == "give back" and book is not None and book.offload.state == handoff.HOLDING:
-            entry = self.there.books.change_remote("huye", "req-1", (handoff.begin_return(book.offload), []))
-            self.there.guest(entry)
+                self.remote.write(
+                    ({f"j/{name}": job_record}, {key: self.remote.replica.version_of(key), f"j/{name}": 0})
+                )
+        elif action == "run there" and remote_job is not None and not remote_job.is_final:
+            runnable = remote_job.spec.all_tasks & ~remote_job.done_tasks
+            if runnable:
+                task = runnable.bit_length() - 1
+                self.executions.append(("guest", task))
+                self.remote.put(
+                    f"p/0/{name}/0", PlacementRecord({}, f"{remote_job.done_tasks | 1 << task:x}", 1)
+                )
+                if remote_job.all_tasks_done:
+                    self.remote.put(f"j/{name}", JobRecord(remote_job.spec, 1, JobState.DONE, 2))
+        elif action == "give back" and record is not None and record.offload.state == handoff.HOLDING:
+            entry = self.remote.ledger.change_remote(
+                "huye", "req-1", (handoff.begin_return(record.offload), [])
+            )
+            self.remote.commit_remote(entry)
         elif (
-            what == "tend" and book is not None and book.offload.state in (handoff.HOLDING, handoff.STOPPING)
+            action == "tend"
+            and record is not None
+            and record.offload.state in (handoff.HOLDING, handoff.STOPPING)
         ):
-            if (there is not None and there.is_final) or (
-                there is None and book.offload.state == handoff.STOPPING
+            if (remote_job is not None and remote_job.is_final) or (
+                remote_job is None and record.offload.state == handoff.STOPPING
             ):
-                loan, says = book.offload, []
+                offload, messages = record.offload, []
                 done = (
                     0
-                    if there is None
-                    else loan.task_mask
-                    if there.state == JobState.DONE
-                    else there.done_tasks & loan.task_mask
+                    if remote_job is None
+                    else offload.task_mask
+                    if remote_job.state == JobState.DONE
+                    else remote_job.done_tasks & offload.task_mask
                 )
                 for task in range(3):
-                    if done >> task & 1 and loan.state in (handoff.HOLDING, handoff.STOPPING):
-                        loan, says = handoff.task_done_at_remote(loan, task)
-                if loan.state == handoff.STOPPING:
-                    loan, says = handoff.all_tasks_stopped(loan)
-                entry = self.there.books.change_remote("huye", "req-1", (loan, says))
-                self.do(self.there, self.there.guest, entry, "home")
-        elif what == "again":
-            mine = self.home.loans.origin_records.get("req-1")
-            self.say("guest", handoff.origin_messages(mine.offload) if mine else [])
-            self.say("home", handoff.remote_messages(book.offload) if book else [])
+                    if done >> task & 1 and offload.state in (handoff.HOLDING, handoff.STOPPING):
+                        offload, messages = handoff.task_done_at_remote(offload, task)
+                if offload.state == handoff.STOPPING:
+                    offload, messages = handoff.all_tasks_stopped(offload)
+                entry = self.remote.ledger.change_remote("huye", "req-1", (offload, messages))
+                self.do(self.remote, self.remote.commit_remote, entry, "home")
+        elif action == "again":
+            origin_record = self.origin.records.origin_records.get("req-1")
+            self.send("guest", handoff.origin_messages(origin_record.offload) if origin_record else [])
+            self.send("home", handoff.remote_messages(record.offload) if record else [])
 
 
 STEPS = st.sampled_from(
@@ -532,84 +566,86 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(STEPS, st.integers(0, 10**6), st.booleans()), max_size=60))
-def test_whatever_the_order_one_answer_and_no_task_is_done_in_both(steps):
-    both = Both()
-    job = both.home.job(kind="array", tasks=3)
+def test_any_order_gives_one_final_state_and_no_task_done_in_both_clusters(steps):
+    clusters = ClusterPair()
+    job = clusters.origin.job(kind="array", tasks=3)
     states = [JobState.QUEUED]
-    for what, pick, keep in steps:
-        if what == "deliver":
-            if both.wire:
-                to, message = both.wire[pick % len(both.wire)]
+    for action, pick, keep in steps:
+        if action == "deliver":
+            if clusters.in_flight:
+                to, message = clusters.in_flight[pick % len(clusters.in_flight)]
                 if not keep:
-                    both.wire.remove((to, message))
-                both.hear(to, message)
+                    clusters.in_flight.remove((to, message))
+                clusters.deliver(to, message)
         else:
-            both.step(what)
+            clusters.step(action)
         if job.state != states[-1]:
             states.append(job.state)
-    # Then the link holds and nobody has a wish any more: everything comes to its end.
+    # Then the link works and no user acts any more: every offload must end.
     for _ in range(30):
-        for what in ("again", "begin", "run there", "tend", "run here"):
-            both.step(what)
-        said, both.wire = both.wire, []
-        for to, message in said:
-            both.hear(to, message)
-        if "req-1" in both.home.loans.open_origin and job.is_final:
-            both.step("withdraw")
+        for action in ("again", "begin", "run there", "tend", "run here"):
+            clusters.step(action)
+        delivered, clusters.in_flight = clusters.in_flight, []
+        for to, message in delivered:
+            clusters.deliver(to, message)
+        if "req-1" in clusters.origin.records.open_origin and job.is_final:
+            clusters.step("withdraw")
         if job.state != states[-1]:
             states.append(job.state)
     assert job.state in (JobState.DONE, JobState.CANCELLED) and len(states) == 2
-    assert len(set(both.ran)) == len(both.ran)
-    tasks = [task for _, task in both.ran]
+    assert len(set(clusters.executions)) == len(clusters.executions)
+    tasks = [task for _, task in clusters.executions]
     assert len(set(tasks)) == len(tasks), "a task was done in both clusters"
     if job.state == JobState.DONE:
         assert sorted(tasks) == [0, 1, 2]
-    book, _, _ = both.local()
-    assert book is None or book.offload.state == handoff.NO_OFFLOAD
-    assert not both.home.loans.open_origin
+    record, _, _ = clusters.remote_state()
+    assert record is None or record.offload.state == handoff.NO_OFFLOAD
+    assert not clusters.origin.records.open_origin
 
 
 def test_records_of_peers_are_read_as_written():
-    one = Cluster()
-    one.put("peer/huye", PeerRecord(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
-    assert one.loans.peers["huye"].grant.rent
-    one.view.delete("peer/huye", one.ledger.revision + 1)
-    assert one.loans.peers == {}
+    cluster = Cluster()
+    cluster.put("peer/huye", PeerRecord(["127.0.0.1:1"], grant=Grant(4, 0, 4, rent=True)))
+    assert cluster.records.peers["huye"].grant.rent
+    cluster.replica.delete("peer/huye", cluster.store.revision + 1)
+    assert cluster.records.peers == {}
 
 
-def test_a_cancellation_is_told_to_wait_while_a_peer_has_the_job():
+def test_a_cancellation_waits_while_a_peer_holds_the_job():
     from pearstep.federation.extension import Federation
 
-    one = Cluster()
-    job = one.job(kind="array", tasks=2)
+    cluster = Cluster()
+    job = cluster.job(kind="array", tasks=2)
 
     class Store:
         async def commit(self, conditions, puts, urgency=0):
             from pearstep.transport.kv_client import CommitOutcome, CommitResult
 
-            assert one.write(({k: v for k, (v, _) in puts.items()}, conditions))
-            return CommitResult(CommitOutcome.COMMITTED, one.ledger.revision)
+            assert cluster.write(({k: v for k, (v, _) in puts.items()}, conditions))
+            return CommitResult(CommitOutcome.COMMITTED, cluster.store.revision)
 
     class Node:
         kv = Store()
 
         class follower:
             @staticmethod
-            def apply_own_commit(key, stamp, value):
-                one.view.put(key, stamp, msgspec.json.encode(value), 0)
+            def apply_own_commit(key, version, value):
+                cluster.replica.put(key, version, msgspec.json.encode(value), 0)
 
     extension = Federation.__new__(Federation)
-    extension.records, extension.replica, extension.controller = one.loans, one.view, Node()
+    extension.records, extension.replica, extension.controller = cluster.records, cluster.replica, Node()
 
     def ask():
         return asyncio.run(extension.before_cancellation(job))
 
-    # Never lent: under the condition that it is still not lent when the cancellation is written.
+    # Never offloaded: the cancellation requires that it still isn't when it is written.
     assert ask() == {"l/req-1": 0}
-    assert one.home(one.offer(job, 2))
-    assert ask() == {"l/req-1": one.view.version_of("l/req-1")}
-    assert one.home(hear(one, handoff.ACCEPT))
-    assert ask() is None and one.loans.origin_records["req-1"].offload.cancel_requested
-    stamp = one.view.version_of("l/req-1")
-    assert ask() is None and one.view.version_of("l/req-1") == stamp  # asked again: nothing more is written
-    assert isinstance(one.loans.origin_records["req-1"], OriginRecord)
+    assert cluster.commit_origin(cluster.offer(job, 2))
+    assert ask() == {"l/req-1": cluster.replica.version_of("l/req-1")}
+    assert cluster.commit_origin(origin_entry(cluster, handoff.ACCEPT))
+    assert ask() is None and cluster.records.origin_records["req-1"].offload.cancel_requested
+    version = cluster.replica.version_of("l/req-1")
+    assert (
+        ask() is None and cluster.replica.version_of("l/req-1") == version
+    )  # a repeated request writes nothing
+    assert isinstance(cluster.records.origin_records["req-1"], OriginRecord)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -82,17 +82,17 @@
     cluster.put("j/lent-huye-5-9", job_record)
     after = msgspec.structs.replace(record, since_us=300)
     entry = LedgerEntry("g/huye/req-5", record, after, "huye", [])
-    assert cluster.write(remote_transaction(cluster.view, "huye", "req-5", entry, 301, 700))
-    job = cluster.view.jobs["lent-huye-5-9"]
+    assert cluster.write(remote_transaction(cluster.replica, "huye", "req-5", entry, 301, 700))
+    job = cluster.replica.jobs["lent-huye-5-9"]
     assert job.run_until_us == 700 and job.done_tasks == 0b1100 and not job.is_final
     # Of a stop and a concurrent renewal only one is committed.
     again = LedgerEntry("g/huye/req-5", after, msgspec.structs.replace(after, since_us=400), "huye", [])
-    late = remote_transaction(cluster.view, "huye", "req-5", again, 401, 800)
+    late = remote_transaction(cluster.replica, "huye", "req-5", again, 401, 800)
     returning = msgspec.structs.replace(after, offload=handoff.begin_return(after.offload))
     stop = LedgerEntry("g/huye/req-5", after, returning, "huye", [])
-    assert cluster.write(remote_transaction(cluster.view, "huye", "req-5", stop, 402)) and not cluster.write(
-        late
-    )
+    assert cluster.write(
+        remote_transaction(cluster.replica, "huye", "req-5", stop, 402)
+    ) and not cluster.write(late)
     assert job.is_final and job.run_until_us == 700
 
 
