--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -70,12 +70,12 @@
         self.keys = Keys(s.keys)
         self.site = self.keys.site
         self.policy = s.leaving.policy()
-        p = s.patience
+        health = s.patience
         self.timeouts = peer_health.HealthTimeouts(
-            int(p.suspect_s * SECOND_US),
-            int(p.cut_s * SECOND_US),
-            int(p.gone_s * SECOND_US),
-            backoff_us=int(p.rest_s * SECOND_US),
+            int(health.suspect_s * SECOND_US),
+            int(health.cut_s * SECOND_US),
+            int(health.gone_s * SECOND_US),
+            backoff_us=int(health.rest_s * SECOND_US),
         )
         self.coordinator: Coordinator | None = None
         self.capacity = CapacityEstimate()
@@ -150,14 +150,16 @@
 
     def _follow_peers(self) -> None:
         """Apply the records of peers that operators have entered."""
-        known = {n: p for n, p in self.records.peers.items() if not p.forgotten}
-        self.link.set_peers({name: peer_record.addrs for name, peer_record in known.items()})
+        active_peers = {
+            name: peer_record for name, peer_record in self.records.peers.items() if not peer_record.forgotten
+        }
+        self.link.set_peers({name: peer_record.addrs for name, peer_record in active_peers.items()})
         if self.coordinator is None:
             return
         coordinator, now = self.coordinator, now_us()
-        for name in [n for n in coordinator.peers if n not in known]:
+        for name in [n for n in coordinator.peers if n not in active_peers]:
             del coordinator.peers[name]
-        for name, peer_record in known.items():
+        for name, peer_record in active_peers.items():
             peer = coordinator.peers.get(name)
             if peer is None:
                 peer = coordinator.peers[name] = peer_health.PeerHealth(name, self.timeouts, now)
@@ -178,8 +180,8 @@
         else:
             peer, _, ref = rest.partition("/")
             assert self.coordinator is not None and isinstance(entry.after, RemoteRecord)
-            until = self.coordinator.ledger.run_until_us(entry.after)
-            transaction = remote_transaction(self.replica, peer, ref, entry, wall_us(), until)
+            run_until_us = self.coordinator.ledger.run_until_us(entry.after)
+            transaction = remote_transaction(self.replica, peer, ref, entry, wall_us(), run_until_us)
         return transaction is not None and await leadership.commit(*transaction) == CommitOutcome.COMMITTED
 
     async def step(self) -> None:
@@ -303,8 +305,8 @@
             if record is None or leadership is None:
                 return
             coordinator = self.coordinator
-            until = coordinator.ledger.run_until_us(record) if coordinator is not None else 0
-            job_record = remote_job_record(peer, ref, record, wall_us(), until)
+            run_until_us = coordinator.ledger.run_until_us(record) if coordinator is not None else 0
+            job_record = remote_job_record(peer, ref, record, wall_us(), run_until_us)
             if job_record is None or not await self.transfers.fetch_description(
                 peer, ref, job_record.spec.job_id
             ):
@@ -430,7 +432,9 @@
         """Estimate the free capacity and the demand after a scheduling pass."""
         now = now_us()
         self.capacity = estimate_capacity(leadership.planner, self.capacity, now)
-        self.capacity.refused = any(until > now for until in leadership.autoscaler.refused_until_us.values())
+        self.capacity.refused = any(
+            refused_until_us > now for refused_until_us in leadership.autoscaler.refused_until_us.values()
+        )
         renting_teams = {
             f"peer:{name}" for name, peer_record in self.records.peers.items() if peer_record.grant.rent
         }
--- a/pearstep/federation/settings.py
+++ b/pearstep/federation/settings.py
@@ -16,7 +16,7 @@
     """A setting is missing or wrong; the text is one line for the operator."""
 
 
-class Patience(msgspec.Struct, forbid_unknown_fields=True):
+class PeerHealthSettings(msgspec.Struct, forbid_unknown_fields=True):
     """Silence after which a peer is suspect, unreachable and gone, and the first backoff once it answers."""
 
     suspect_s: Positive = 3.0
@@ -25,7 +25,7 @@
     rest_s: NotNegative = 5.0
 
 
-class Leaving(msgspec.Struct, forbid_unknown_fields=True):
+class OffloadSettings(msgspec.Struct, forbid_unknown_fields=True):
     """Which jobs may be offloaded.
 
     A job may be if it has waited ``wait_s`` and would start here later than its service-level objective, or
@@ -81,8 +81,8 @@
     keys: str
     binds: dict[str, Address]
     archives: list[Address] = []
-    patience: Patience = msgspec.field(default_factory=Patience)
-    leaving: Leaving = msgspec.field(default_factory=Leaving)
+    patience: PeerHealthSettings = msgspec.field(default_factory=PeerHealthSettings)
+    leaving: OffloadSettings = msgspec.field(default_factory=OffloadSettings)
     reserve_s: Positive = 30.0
     offer_s: Positive = 10.0
     yield_s: Positive = 2.0
