--- a/pearstep/federation/extension.py
+++ b/pearstep/federation/extension.py
@@ -62,7 +62,7 @@
 
 
 class Federation:
-    """An extension of a controller (``node.extension``)."""
+    """The extension of a controller that federates its site with peers (``controller.extension``)."""
 
     def __init__(self, settings: FederationSettings) -> None:
         """Prepare the federation of one site with its peers."""
