--- a/pearstep/controller/held_leases.py
+++ b/pearstep/controller/held_leases.py
@@ -1,4 +1,4 @@
-"""Hold what this node has claimed in the state service."""
+"""The lease of this node in the state service, and the shards and leadership held under it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from pearstep.controller.leadership import Leadership
 from pearstep.shard.owner import ShardOwner
 
-# The key of the leader.
 LEADER_KEY = "leader"
 
 
@@ -18,9 +17,9 @@
 
 @dataclass(kw_only=True, slots=True)
 class HeldLeases:
-    """The lease of this node, and what is attached to it."""
+    """The lease of this node, and the shards and leadership held under it."""
 
-    # The shards that this node owns, shared with those that act on them.
+    # The shards that this node owns; other components share this dict.
     owners: dict[int, ShardOwner]
     leadership: Leadership | None = None
     # The lease in the state service; None while there is none.
@@ -31,7 +30,7 @@
         self.owners.clear()
         self.leadership = None
 
-    def lease_lost(self) -> None:
-        """Stop acting as owner and leader, as the lease has expired."""
+    def on_lease_lost(self) -> None:
+        """Stop acting as owner and leader because the lease has expired."""
         self.lease_id = None
         self.clear()
--- a/pearstep/controller/leader_transactions.py
+++ b/pearstep/controller/leader_transactions.py
@@ -18,18 +18,18 @@
 log = EventLogger("pearstep.leader")
 
 LEADER_KEY = "leader"
-# Of the keys of a transaction so many are named in a log line.
-KEYS_LOGGED = 6
-FAILED_KEYS_LOGGED = 4
+# Keys of a transaction named in one log line.
+MAX_LOGGED_KEYS = 6
+MAX_LOGGED_FAILED_KEYS = 4
 
 
 @dataclass(kw_only=True)
 class LeaderContext:
-    """What a leader works with: settings, the replica, the services, and the clocks.
+    """The dependencies of a leader: settings, the replica, the services, and the clocks.
 
     Attributes:
         apply_own_commit: Called with the key, revision and value of each record that is written.
-        read_barrier: Bring the replica up to date; False if that failed.
+        read_barrier: Brings the replica up to date; False if that failed.
         now_us: The monotonic clock, microseconds.
         wall_us: The wall clock, microseconds.
     """
@@ -49,8 +49,7 @@
 class LeaderTransactions:
     """Writes records under the fencing token of one leadership.
 
-    Every write is conditional on the revision of the leader's key, so that an old leader's late writes are
-    harmless.
+    Every write is conditional on the revision of the leader's key, so late writes of a former leader fail.
     """
 
     def __init__(self, context: LeaderContext) -> None:
@@ -69,7 +68,7 @@
             context.apply_own_commit,
             context.read_barrier,
         )
-        # The last malformed transaction of each set of keys: it is not sent again as it is.
+        # The last malformed transaction of each set of keys; an identical one is not sent again.
         self._malformed: dict[frozenset[str], tuple[dict[str, Any], dict[str, int]]] = {}
 
     async def commit(
@@ -77,7 +76,7 @@
     ) -> str:
         """Write in one transaction under the fencing token.
 
-        What is committed is known to the replica at once, and after a conflict the replica is read anew.
+        Committed records are applied to the replica at once. After a conflict the replica is refreshed.
 
         Args:
             puts: The new values by key.
@@ -85,14 +84,14 @@
             deletes: Keys to delete.
 
         Returns:
-            How it ended, a ``CommitOutcome``; MALFORMED without being sent for what cannot be written
-            as it is.
+            The ``CommitOutcome``; MALFORMED, without sending it, for a transaction that is too large or was
+            malformed before.
         """
         keys = frozenset([*puts, *(deletes or ())])
         if self._malformed.get(keys) == (puts, conditions):
             return CommitOutcome.MALFORMED
         if not self.try_add(self.new_size(), puts, conditions, deletes):
-            log.error("leader transaction too large", keys=sorted(keys)[:KEYS_LOGGED])
+            log.error("leader transaction too large", keys=sorted(keys)[:MAX_LOGGED_KEYS])
             self._malformed[keys] = (puts, conditions)
             return CommitOutcome.MALFORMED
         outcome = await self.kv.commit(
@@ -105,7 +104,7 @@
         elif outcome.state == CommitOutcome.MALFORMED:
             self._malformed[keys] = (puts, conditions)
         elif outcome.state != CommitOutcome.REFUSED:
-            await self._catch_up(outcome)
+            await self._refresh_replica(outcome)
         return outcome.state
 
     def _apply(self, revision: int, puts: dict[str, Any], deletes: list[str] | None) -> None:
@@ -114,16 +113,16 @@
         for key in deletes or ():
             self.replica.delete(key, revision)
 
-    async def _catch_up(self, outcome: CommitResult) -> None:
-        """Learn what the state service holds after a conflict or a transaction without an answer."""
+    async def _refresh_replica(self, outcome: CommitResult) -> None:
+        """Bring the replica up to date after a conflict or a transaction without an answer."""
         if outcome.state == CommitOutcome.CONFLICT:
-            log.info("leader transaction conflict", keys=outcome.failed[:FAILED_KEYS_LOGGED])
+            log.info("leader transaction conflict", keys=outcome.failed[:MAX_LOGGED_FAILED_KEYS])
             await self.read_barrier()
         else:
-            await self.fence.close(self.is_current)
+            await self.fence.invalidate_pending_writes(self.is_current)
 
     def new_size(self) -> TransactionSize:
-        """Return the size of a transaction that holds only the preconditions of the fencing token."""
+        """Return the size of a transaction that has only the preconditions of the write fence."""
         return TransactionSize(self.settings.transaction_limits, self.fence.preconditions())
 
     @staticmethod
@@ -133,15 +132,15 @@
         conditions: dict[str, int],
         deletes: list[str] | None = None,
     ) -> bool:
-        """Add changes to a transaction's size; False, and nothing added, if they do not fit."""
+        """Add changes to a transaction's size; return False and add nothing if they do not fit."""
         return size.try_add(conditions, encoded_sizes(puts) | dict.fromkeys(deletes or (), 0))
 
     async def commit_independently(
         self, puts: dict[str, Any], conditions: dict[str, int], deletes: list[str]
     ) -> None:
-        """Write changes that do not depend on each other, each under a condition of its own key.
+        """Write independent changes, each conditional on the version of its own key.
 
-        They are written in halves if they are malformed together.
+        If the transaction is malformed, each half of the changes is written separately.
         """
         keys = [*puts, *deletes]
         if await self.commit(puts, conditions, deletes) != CommitOutcome.MALFORMED or len(keys) < 2:
@@ -155,6 +154,6 @@
             )
 
     def is_current(self) -> bool:
-        """Tell whether this leadership is not known to be over."""
+        """Tell whether the replica still shows this leadership as the current one."""
         leader = self.replica.leader
         return leader is not None and leader.fencing_token == self.fencing_token
--- a/pearstep/controller/lease_claimer.py
+++ b/pearstep/controller/lease_claimer.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseClaimerDependencies:
-    """What a ``LeaseClaimer`` works with."""
+    """The dependencies of a ``LeaseClaimer``."""
 
     settings: Settings
     kv: KeyValueStore
@@ -49,11 +49,11 @@
     """Claims the home shard, a vacant leadership, and shards without an owner.
 
     Attributes:
-        node_version: The features of this node that the others see in its claims.
+        node_version: The feature version that this node writes into its claims.
     """
 
     def __init__(self, dependencies: LeaseClaimerDependencies) -> None:
-        """Claim for a node; nothing is claimed yet."""
+        """Create the claimer; nothing is claimed yet."""
         self.node_version = NODE_VERSION
         self._dependencies = dependencies
         self._settings = dependencies.settings
@@ -61,12 +61,12 @@
         self._held = dependencies.held
         self._follower = dependencies.follower
         self._kv = dependencies.kv
-        # Since when each shard without an owner has none.
+        # The time since when each shard without an owner has had none.
         self._unowned_since_us: dict[int, int] = {}
         self._missing_extension_logged = False
 
     def track_unowned_shards(self) -> None:
-        """Note since when shards have no owner; call it when lease holders have changed."""
+        """Record since when shards have had no owner; call it when lease holders have changed."""
         for shard_id in range(self._settings.shard_count):
             holder = self._replica.shard_holders.get(shard_id)
             if holder is not None and holder.node:
@@ -75,7 +75,7 @@
                 self._unowned_since_us.setdefault(shard_id, now_us())
 
     async def claim(self) -> None:
-        """Wait, and claim once whatever this node should hold."""
+        """Wait, then claim the shards and the leadership that this node should hold."""
         await asyncio.sleep(CLAIM_INTERVAL_US / SECOND_US)
         if not self._may_claim():
             return
@@ -99,11 +99,11 @@
             await self._claim(shard_key(home))
 
     async def _claim_leadership(self) -> None:
-        """Claim the leadership if nobody has it, or a former process of this node."""
+        """Claim the leadership if it is vacant or held by a former process of this node."""
         if self._held.leadership is not None:
             return
         if self._replica.has_unread_offloads:
-            # A leader that does not read what is offloaded would start that here as well.
+            # A leader that cannot read the offload records would start offloaded tasks here as well.
             self._log_missing_extension()
             return
         home = self._settings.home_shard
@@ -123,8 +123,8 @@
     async def _reclaim_shards(self) -> None:
         """Claim shards that a former process of this node holds.
 
-        Nobody else can before the lease of that process expires, and this node need not wait for it. Its own
-        fencing token makes whatever the former process still sends harmless.
+        Other nodes must wait for the lease of that process to expire, this node need not. The new fencing
+        token invalidates whatever the former process still sends.
         """
         home = self._settings.home_shard
         for shard_id, holder in list(self._replica.shard_holders.items()):
@@ -132,41 +132,41 @@
                 await self._claim(shard_key(shard_id))
 
     async def _take_over_shards(self) -> None:
-        """Claim shards that had no owner for longer than this node's patience.
+        """Claim shards that have had no owner for longer than this node's takeover delay.
 
-        The owner of the least loaded live node would be fairest; the first to see it will do.
+        The least loaded live node would be the fairest choice, but the first one to claim the shard suffices.
         """
         for shard_id, since_us in list(self._unowned_since_us.items()):
-            # A node that releases a shard is alive: nothing is waited for then.
+            # A released shard was given up by a live node, so there is no lease to wait for.
             released = shard_id in self._replica.shard_holders
-            patience_us = 0 if released else self._settings.timeouts.takeover_us
-            patience_us += self._cross_zone_patience_us(shard_id)
-            patience_us += self._stagger_us(shard_id)
-            if shard_id != self._settings.home_shard and now_us() - since_us > patience_us:
+            delay_us = 0 if released else self._settings.timeouts.takeover_us
+            delay_us += self._cross_zone_delay_us(shard_id)
+            delay_us += self._stagger_us(shard_id)
+            if shard_id != self._settings.home_shard and now_us() - since_us > delay_us:
                 await self._claim(shard_key(shard_id))
 
     def _stagger_us(self, shard_id: int) -> int:
-        """Return how much later this node claims than the one before it in the order for a shard."""
+        """Return this node's delay by its position in the claim order for a shard."""
         return CLAIM_STAGGER_US * ((self._settings.home_shard - shard_id) % self._settings.shard_count)
 
-    def _cross_zone_patience_us(self, shard_id: int) -> int:
-        """Return how much longer this node waits for a shard of another zone.
+    def _cross_zone_delay_us(self, shard_id: int) -> int:
+        """Return how much longer this node waits before it claims a shard of another zone.
 
-        While a node of that zone holds its own shard, it is the one to take over its neighbour's.
+        While any node of that zone holds a shard, a node of that zone should take over the shard.
         """
         zones = self._settings.shard_zones
         if not zones or zones[shard_id] == zones[self._settings.home_shard]:
             return 0
         alive = {holder.node for holder in self._replica.shard_holders.values()}
-        nodes_there = (
+        nodes_in_zone = (
             node for node, zone in zip(self._settings.nodes, zones, strict=True) if zone == zones[shard_id]
         )
-        if any(node in alive for node in nodes_there):
+        if any(node in alive for node in nodes_in_zone):
             return self._settings.timeouts.cross_zone_takeover_us
         return 0
 
     async def _claim(self, key: str) -> None:
-        """Write this node as the holder of a key, and act for it once the replica shows that."""
+        """Write this node as the holder of a key, and act for it once the replica shows the claim."""
         lease_id = self._held.lease_id
         if lease_id is None:
             return
@@ -176,16 +176,16 @@
             urgency=0,
         )
         if outcome.state == CommitOutcome.NO_LEASE:
-            self._held.lease_lost()
+            self._held.on_lease_lost()
         elif outcome.state == CommitOutcome.CONFLICT:
             await self._follower.read_barrier()
-        elif outcome.state == CommitOutcome.COMMITTED and await self._claim_is_read(
+        elif outcome.state == CommitOutcome.COMMITTED and await self._read_up_to_claim(
             key, outcome.revision, lease_id
         ):
             self._acquire(key, outcome.revision)
 
-    async def _claim_is_read(self, key: str, revision: int, lease_id: int) -> bool:
-        """Read everything that was committed before a claim; False if the claim is lost meanwhile."""
+    async def _read_up_to_claim(self, key: str, revision: int, lease_id: int) -> bool:
+        """Bring the replica up to date with a claim; return False if the claim is lost in the meantime."""
         while self._replica.revision < revision:
             if not await self._follower.read_barrier():
                 await asyncio.sleep(0.1)
@@ -194,7 +194,7 @@
         return self._replica.version_of(key) == revision and self._held.lease_id == lease_id
 
     def _acquire(self, key: str, fencing_token: int) -> None:
-        """Start acting for a claimed key."""
+        """Start acting as the holder of a claimed key."""
         if key == LEADER_KEY:
             self._held.leadership = self._dependencies.create_leadership(fencing_token)
             log.info("leadership acquired", fencing_token=fencing_token)
--- a/pearstep/controller/lease_manager.py
+++ b/pearstep/controller/lease_manager.py
@@ -1,6 +1,6 @@
-"""Manage what this node holds: its lease in the state service, shards, and the leadership.
+"""Manage this node's lease in the state service, and the shards and leadership held under it.
 
-The work is done by ``LeaseRenewal``, ``LeaseClaimer`` and ``LeaseRelease``; this module joins them with the
+``LeaseRenewal``, ``LeaseClaimer`` and ``LeaseRelease`` do the work; this module combines them with the
 health of the node.
 """
 
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseManagerDependencies:
-    """What a ``LeaseManager`` works with."""
+    """The dependencies of a ``LeaseManager``."""
 
     settings: Settings
     kv: KeyValueStore
     replica: Replica
     machine_types: dict[str, MachineType]
-    # The shards that this node owns, shared with those that act on them.
+    # The shards that this node owns; other components share this dict.
     owners: dict[int, ShardOwner]
     follower: ReplicaFollower
     health: HealthMonitor
@@ -55,7 +55,7 @@
     """The lease, the shards and the leadership of this node."""
 
     def __init__(self, dependencies: LeaseManagerDependencies) -> None:
-        """Manage the leases of a node that holds nothing yet."""
+        """Create the manager; nothing is held yet."""
         settings = dependencies.settings
         kv, follower = dependencies.kv, dependencies.follower
         self.health = dependencies.health
@@ -84,7 +84,7 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership while this node is the leader."""
+        """The leadership while this node is the leader, otherwise None."""
         return self._held.leadership
 
     @property
@@ -94,7 +94,7 @@
 
     @property
     def version(self) -> int:
-        """The features of this node that the others see in its claims."""
+        """The feature version that this node writes into its claims."""
         return self._claimer.node_version
 
     @version.setter
@@ -102,7 +102,7 @@
         self._claimer.node_version = node_version
 
     def drop_lost_claims(self) -> None:
-        """Stop acting at once for what another node holds, or what this node's lease no longer holds."""
+        """Stop acting at once for shards and a leadership that the replica no longer shows as this node's."""
         owners = self._held.owners
         for shard_id, owner in list(owners.items()):
             holder = self._replica.shard_holders.get(shard_id)
@@ -120,7 +120,7 @@
     def may_act(self) -> bool:
         """Tell whether the replica may be acted on.
 
-        Whatever runs first after a process pause detects the pause here.
+        The first call after a process pause detects the pause.
         """
         if self.health.detect_process_pause() and not self._verifying_after_pause:
             self._verifying_after_pause = True
@@ -136,7 +136,7 @@
             self._verifying_after_pause = False
 
     async def detect_process_pause(self) -> None:
-        """Detect a process pause if nothing else runs, and wait."""
+        """Detect a process pause even if nothing else calls ``may_act``, then wait."""
         self.may_act()
         await asyncio.sleep(PAUSE_CHECK_INTERVAL_US / SECOND_US)
 
@@ -149,9 +149,9 @@
             await self._release.release_all()
 
     async def keep_lease(self) -> None:
-        """Get a lease if there is none, wait, and renew it."""
+        """Obtain a lease if this node has none, wait, and renew it."""
         await self._renewal.keep_lease()
 
     async def claim(self) -> None:
-        """Wait, and claim once whatever this node should hold."""
+        """Wait, then claim the shards and the leadership that this node should hold."""
         await self._claimer.claim()
--- a/pearstep/controller/lease_release.py
+++ b/pearstep/controller/lease_release.py
@@ -1,4 +1,4 @@
-"""Release what this node holds while a peer can serve it better."""
+"""Release the shards and the leadership of this node when a peer can serve them better."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
         reachability: Reachability,
         max_operations: int,
     ) -> None:
-        """Release what is held.
+        """Create the release for the leases in ``held``.
 
         Args:
-            held: What is held.
+            held: The shards and the leadership that this node holds.
             kv: The state service.
-            follower: Reads the result.
-            reachability: Whether the state service can be written.
+            follower: Reads the result of the release.
+            reachability: Tells whether the state service can be reached.
             max_operations: How many keys one transaction may change.
         """
         self._held = held
@@ -42,7 +42,7 @@
         self._max_operations = max_operations
 
     async def release_all(self) -> None:
-        """Stop acting for what is held, then record that it is free, if that is possible."""
+        """Stop acting as owner and leader, then record the release if the state service can be reached."""
         held = self._held
         tokens = [(shard_key(shard_id), owner.fencing_token) for shard_id, owner in held.owners.items()]
         log.info("releasing leases", shards=list(held.owners), leader=held.leadership is not None)
@@ -52,11 +52,11 @@
         if Neighbour.STATE in self._reachability.unreachable:
             return
         for start in range(0, len(tokens), self._max_operations):
-            await self._record_free(dict(tokens[start : start + self._max_operations]))
+            await self._record_release(dict(tokens[start : start + self._max_operations]))
         await self._follower.read_barrier()
 
-    async def _record_free(self, tokens: dict[str, int]) -> None:
-        """Write shards without a holder, and delete the leader, if they still have these fencing tokens."""
+    async def _record_release(self, tokens: dict[str, int]) -> None:
+        """Clear the shard holders and delete the leader key, if they still have these fencing tokens."""
         puts: dict[str, tuple[Any, int | None]] = {
             key: (LeaseHolderRecord(""), None) for key in tokens if key != LEADER_KEY
         }
--- a/pearstep/controller/lease_renewal.py
+++ b/pearstep/controller/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Keep the lease of this node in the state service."""
+"""Obtain and renew the lease of this node in the state service."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 log = EventLogger("pearstep.lease")
 
-# How often a lease is renewed in its length.
+# Renewals within the duration of one lease.
 RENEWALS_PER_LEASE = 4
-# How long the state service must be unavailable before a resumed node goes on without it.
+# How long the state service must be unavailable before a node resumes after a pause without asking it.
 RESUME_WITHOUT_KV_US = SECOND_US
 
 
@@ -32,14 +32,14 @@
         reachability: Reachability,
         lease_us: int,
     ) -> None:
-        """Keep a lease.
+        """Create the renewal; no lease is granted yet.
 
         Args:
-            held: Where the lease is kept, and what ends with it.
+            held: Stores the lease, and the shards and leadership that are lost with it.
             kv: The state service.
-            follower: Reads the replica anew after a pause.
-            reachability: Records when a pause is dealt with.
-            lease_us: The length of the lease.
+            follower: Brings the replica up to date after a pause.
+            reachability: Records when the verification after a pause is complete.
+            lease_us: The duration of the lease.
         """
         self._held = held
         self._kv = kv
@@ -48,7 +48,7 @@
         self._lease_us = lease_us
 
     async def keep_lease(self) -> None:
-        """Get a lease if there is none, wait, and renew it."""
+        """Obtain a lease if this node has none, wait, and renew it."""
         held = self._held
         if held.lease_id is None:
             held.lease_id = await self._kv.grant_lease(self._lease_us // 1000)
@@ -60,26 +60,27 @@
             return
         if await self._kv.renew_lease(held.lease_id) is False:
             log.info("state lease expired")
-            held.lease_lost()
+            held.on_lease_lost()
 
     async def verify_after_pause(self) -> None:
-        """Renew the lease, or find it lost, and read what has changed during a process pause."""
+        """Renew the lease or find that it is lost after a process pause, and refresh the replica."""
         while self._reachability.state == NodeHealth.RESUMED:
             renewed = await self._renew_now()
             if renewed is False:
-                self._held.lease_lost()
+                self._held.on_lease_lost()
             if renewed is not None and await self._follower.read_barrier():
                 break
             unavailable_since_us = self._kv.unavailable_since_us
             if unavailable_since_us is not None and now_us() - unavailable_since_us > RESUME_WITHOUT_KV_US:
-                # Nobody can tell. In an outage for all the shards are still this node's, and their agents
-                # need it; if it alone is refused, the peers will report so.
+                # It is unknown whether the lease is still valid. If the state service is down for all nodes,
+                # this node still owns its shards and their agents need it. If only this node is refused, the
+                # peers will report that.
                 break
             await asyncio.sleep(random.uniform(0.1, 0.3))
         self._reachability.resume_completed(now_us())
 
     async def _renew_now(self) -> bool | None:
-        """Renew the lease; False if there is none any more, None if that cannot be determined."""
+        """Renew the lease; False if it no longer exists, None if that cannot be determined."""
         if self._held.lease_id is None:
             return False
         return await self._kv.renew_lease(self._held.lease_id)
--- a/pearstep/controller/shard_loop.py
+++ b/pearstep/controller/shard_loop.py
@@ -1,4 +1,4 @@
-"""The loop of a shard owner: passes over the owned shards, their group commits, and what commits permit."""
+"""The shard loop: runs passes over owned shards, commits their writes, and sends the resulting commands."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 log = EventLogger("pearstep.shard_loop")
 
-# A pass begins at the latest so long after the one before, in seconds.
+# Longest wait between two passes.
 MAX_PASS_INTERVAL_S = 0.5
-# Machines that the cloud is asked to delete in one request.
-DELETE_GROUP_SIZE = 100
-# Keys in conflict that a log line names.
-LOGGED_KEYS = 4
+# Machines per delete request to the cloud.
+DELETE_BATCH_SIZE = 100
+# Conflicting keys named in one log line.
+MAX_LOGGED_KEYS = 4
 
 
 async def _backoff() -> None:
-    """Wait a little before the state service is asked again."""
+    """Wait for a short random time before retrying a request to the state service."""
     await asyncio.sleep(random.uniform(0.1, 0.3))
 
 
-async def pause_after_pass(leading: Leading, begun: int) -> None:
-    """Pause after a pass. The longer it took, the longer heartbeats, users and leases go first."""
-    took_s = (now_us() - begun) / SECOND_US
-    rest_s = min(leading.pace * took_s, leading.longest_rest_ms / 1000)
-    await asyncio.sleep(max(leading.step_ms / 1000, rest_s))
+async def pause_after_pass(leading: Leading, started_us: int) -> None:
+    """Pause in proportion to a pass's duration, so that heartbeats, user requests and leases get served."""
+    duration_s = (now_us() - started_us) / SECOND_US
+    pause_s = min(leading.pace * duration_s, leading.longest_rest_ms / 1000)
+    await asyncio.sleep(max(leading.step_ms / 1000, pause_s))
 
 
 class ShardLoop:
     """Runs passes and commits of the shards in ``owners``, which the lease manager fills."""
 
-    def __init__(  # noqa: PLR0913 - called by position; the controller's parts are put together there
+    def __init__(  # noqa: PLR0913 - one argument for each collaborator, as the controller wires them
         self,
         leading: Leading,
         owners: dict[int, ShardOwner],
@@ -63,16 +63,16 @@
         """Run the shards in ``owners``.
 
         Args:
-            leading: The operators' settings of passes.
+            leading: The operators' settings for the pace of passes.
             owners: The shards that this controller owns now.
             kv: The key-value store.
-            cloud: Deletes machines.
+            cloud: The cloud client, which deletes machines.
             replica: The replica of the stored state.
-            follower: Takes own commits into the replica, and makes it current.
-            agents: Sends commands.
-            pass_requested: Set by whoever wants a pass.
+            follower: Applies this node's commits to the replica, and brings it up to date.
+            agents: Sends commands to agents.
+            pass_requested: Set to request a pass.
             may_act: Whether this controller may act for its shards now.
-            on_key_removed: Told of each key that a commit removed.
+            on_key_removed: Called with each key that a commit deleted.
         """
         self.leading = leading
         self.owners = owners
@@ -88,19 +88,19 @@
         self._tasks = BackgroundTasks(log)
 
     async def run_pass(self) -> None:
-        """Run one pass over all shards, once something asks for it or the interval has passed."""
+        """Wait until a pass is requested or the interval has passed, then run one pass over all shards."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.pass_requested.wait(), MAX_PASS_INTERVAL_S)
         self.pass_requested.clear()
         if not self._may_act():
             return
-        begun = now_us()
+        started_us = now_us()
         for owner in list(self.owners.values()):
             self._perform(owner, owner.run_pass(now_us(), wall_us()))
             if owner.shard_id not in self._committing:
                 self._committing.add(owner.shard_id)
                 self._tasks.start(self._commit(owner))
-        await pause_after_pass(self.leading, begun)
+        await pause_after_pass(self.leading, started_us)
 
     def _is_owned(self, owner: ShardOwner) -> bool:
         return self.owners.get(owner.shard_id) is owner
@@ -113,18 +113,18 @@
     # -- deletion of machines --------------------------------------------------------------------
 
     async def _delete(self, owner: ShardOwner, names: list[str]) -> None:
-        """Have the cloud delete machines, in groups."""
-        for first in range(0, len(names), DELETE_GROUP_SIZE):
-            group = names[first : first + DELETE_GROUP_SIZE]
-            deleted = await self.cloud.delete(group)
+        """Delete machines in the cloud, in batches."""
+        for start in range(0, len(names), DELETE_BATCH_SIZE):
+            batch = names[start : start + DELETE_BATCH_SIZE]
+            deleted = await self.cloud.delete(batch)
             log.info(
                 "machines deleted" if deleted else "machine deletion failed",
                 shard=owner.shard_id,
-                machines=[self._with_reason(name) for name in group],
+                machines=[self._with_reason(name) for name in batch],
             )
             if not self._is_owned(owner):
                 return
-            for name in group:
+            for name in batch:
                 if deleted:
                     owner.on_machine_deleted(name, now_us(), wall_us())
                 else:
@@ -132,14 +132,14 @@
         self.pass_requested.set()
 
     def _with_reason(self, name: str) -> str:
-        """Name a machine with the reason of its drain, if it has one."""
+        """Return a machine's name, followed by its drain reason if it is draining."""
         drain = self.replica.drains.get(name)
         return f"{name}({drain.reason})" if drain else name
 
     # -- commits ---------------------------------------------------------------------------------
 
     @staticmethod
-    def _log_unwritten(owner: ShardOwner) -> None:
+    def _log_unwritable_keys(owner: ShardOwner) -> None:
         for unwritable in owner.unwritable_keys:
             log.error(
                 "record can't be written",
@@ -150,7 +150,7 @@
         owner.unwritable_keys.clear()
 
     async def _commit(self, owner: ShardOwner) -> None:
-        """Commit what the owner has decided, in groups, until nothing is left or the shard is given up."""
+        """Commit the owner's pending writes in groups until none is left or the shard is no longer owned."""
         fence = WriteFence(
             self.kv,
             self.replica,
@@ -166,16 +166,16 @@
             self._committing.discard(owner.shard_id)
 
     async def _commit_group(self, owner: ShardOwner, fence: WriteFence) -> bool:
-        """Commit one group; return whether to go on with the next."""
+        """Commit one group of writes; return whether to continue with the next."""
         if not owner.has_writes(now_us()):
             return False
         await self.kv.wait_for_write_quota()
         if not self._is_owned(owner):
-            # The shard was given up while it waited, and its owner has heard of no change since: what it
-            # would write names jobs that may have left their records.
+            # This node stopped owning the shard during the wait. The owner object has received no changes
+            # since, so its writes could refer to jobs whose records have been removed.
             return False
         batch = owner.gather_commit(now_us(), wall_us())
-        self._log_unwritten(owner)
+        self._log_unwritable_keys(owner)
         if batch is None:
             return False
         result = await self.kv.commit(
@@ -185,7 +185,7 @@
             self._on_committed(owner, batch, result)
         elif result.state == CommitOutcome.MALFORMED:
             owner.on_malformed(batch, now_us(), wall_us())
-            self._log_unwritten(owner)
+            self._log_unwritable_keys(owner)
             self.pass_requested.set()
         elif result.state == CommitOutcome.REFUSED:
             owner.on_rejected(batch, now_us(), wall_us(), unchanged=True)
@@ -195,7 +195,7 @@
         return True
 
     def _on_committed(self, owner: ShardOwner, batch: GroupCommit, result: CommitResult) -> None:
-        """Take a commit into the replica, and send what it permits."""
+        """Apply a commit to the replica, and send the commands that it allows."""
         actions = ShardActions()
         owner.on_committed(batch, result.revision, actions)
         for attempt in batch.placed_attempts:
@@ -212,24 +212,24 @@
         for key in batch.deletes:
             if self.replica.delete(key, result.revision):
                 self._on_key_removed(key)
-        # The answer may have waited while the process was paused, and jobs were cancelled: what it permits to
-        # start goes with the next answers to heartbeats then.
+        # The answer may have been delayed by a process pause during which jobs were cancelled. In that case
+        # nothing is sent now; the start commands go out with the next heartbeat answers.
         if self._is_owned(owner) and self._may_act():
             self._perform(owner, actions)
 
     async def _on_not_applied(
         self, owner: ShardOwner, fence: WriteFence, batch: GroupCommit, result: CommitResult
     ) -> bool:
-        """Decide anew after a conflict or an unknown outcome; return whether the shard is still owned."""
+        """Handle a conflict or an unknown outcome; return whether the shard is still owned."""
         log.info(
             "shard commit not applied",
             shard=owner.shard_id,
             outcome=result.state,
-            failed=result.failed[:LOGGED_KEYS],
+            failed=result.failed[:MAX_LOGGED_KEYS],
         )
         is_conflict = result.state == CommitOutcome.CONFLICT
-        # What stands in the way, or whether it was applied after all, only a current replica tells.
-        if not is_conflict and not await fence.close(lambda: self._is_owned(owner)):
+        # Only an up-to-date replica shows the conflicting record, or whether the commit was applied.
+        if not is_conflict and not await fence.invalidate_pending_writes(lambda: self._is_owned(owner)):
             return False
         while not await self.follower.read_barrier():
             await _backoff()
--- a/pearstep/controller/write_fence.py
+++ b/pearstep/controller/write_fence.py
@@ -1,11 +1,14 @@
-"""Settle how a transaction without an answer has ended, before anything newer is written.
+"""A write fence: keeps a transaction whose outcome is unknown from being executed after newer ones.
 
-It may be executed seconds later, after newer ones of the same controller, and its preconditions can hold
-again: what it found absent is absent still, or once more. Seen (fault hunt, ``ran_twice``): the leader's
-route of a job to one shard had no answer and was not there when the leader read anew; it routed the job to
-another shard, the first route was executed, and both shards placed the task. So whoever writes under a
-fencing token of its own has a key of its own as well, and changes that key when the outcome of a
-transaction is unknown: whatever is still on its way meets a precondition that never holds again.
+A transaction without an answer may be executed seconds later, after newer ones of the same controller, and
+its preconditions can hold again, for example if a key is still absent or has been deleted again.
+Seen (fault hunt, ``ran_twice``): the leader's transaction that routed a job to one shard had no answer, and a
+new read did not show the route. The leader routed the job to another shard, then the first transaction was
+executed, and both shards placed the task.
+
+Each lease holder therefore has a fence key besides its fencing token. All its transactions are conditional on
+the version of that key. When an outcome is unknown, the holder changes the key, so that the preconditions of
+transactions still in flight can never hold again.
 """
 
 from __future__ import annotations
@@ -23,7 +26,8 @@
 class WriteFence:
     """The write fence of one lease holder.
 
-    A later holder needs no fence of an earlier one: the fencing token of the claim excludes these.
+    A later holder doesn't need the fences of earlier ones: its claim changed the fencing token, which makes
+    their transactions fail.
     """
 
     def __init__(
@@ -35,13 +39,13 @@
         apply_own_commit: Callable[[str, int, object], None],
         read_barrier: Callable[[], Awaitable[bool]],
     ) -> None:
-        """Guard the writes of the holder of a claim.
+        """Create the fence for the writes of one lease holder.
 
         Args:
             kv: The key-value store.
             replica: This node's replica of it.
-            claim_key: The key of what is held.
-            fencing_token: The version of that key with which it was claimed.
+            claim_key: The key of the shard or of the leadership that is held.
+            fencing_token: The version that this key got with the claim.
             apply_own_commit: Applies a committed key, its version and its value to the replica.
             read_barrier: Reads all changes; False if that failed.
         """
@@ -56,22 +60,23 @@
         """Return the versions by key on which every transaction of the holder is conditional."""
         return {**self._claim, self.key: self.replica.version_of(self.key)}
 
-    async def close(self, holds: Callable[[], bool]) -> bool:
-        """Wait until nothing that was sent before can be executed, and the replica shows what was.
+    async def invalidate_pending_writes(self, is_held: Callable[[], bool]) -> bool:
+        """Wait until no earlier transaction can still be executed and the replica shows those that were.
 
         Args:
-            holds: Whether the claim is still held.
+            is_held: Whether the claim is still held.
 
         Returns:
-            False if the claim is no longer held: what was sent then fails by the claim's version.
+            False if the claim is no longer held; pending transactions then fail on the claim's version.
         """
-        before = self.replica.version_of(self.key)
-        while holds():
-            if self.replica.version_of(self.key) == before:
+        version_before = self.replica.version_of(self.key)
+        while is_held():
+            if self.replica.version_of(self.key) == version_before:
                 await self._write()
-            # Read after it: the answer shows all that was executed before. A fence whose own answer is
-            # missing is found here, or written again under the same precondition.
-            if await self._read_barrier() and self.replica.version_of(self.key) != before:
+            # This read comes after the fence write, so it shows every transaction executed before that. If
+            # the answer to the fence write was lost, the read shows the new version, or the write is retried
+            # under the same precondition.
+            if await self._read_barrier() and self.replica.version_of(self.key) != version_before:
                 return True
             await asyncio.sleep(random.uniform(0.1, 0.3))
         return False
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -62,7 +62,7 @@
         return None
 
     with mock.patch("pearstep.controller.write_fence.asyncio", SimpleNamespace(sleep=now)):
-        return asyncio.run(fence.close(holds))
+        return asyncio.run(fence.invalidate_pending_writes(holds))
 
 
 @given(st.lists(st.sampled_from(["now", "unsaid", "later", "refused"]), max_size=6), st.booleans())
@@ -130,7 +130,7 @@
 
 
 def test_transactions_carried_out_after_newer_ones_start_nothing_twice():
-    with mock.patch.object(WriteFence, "close", read_only):
+    with mock.patch.object(WriteFence, "invalidate_pending_writes", read_only):
         unfenced = [run(late(seed))[0] for seed in (10, 15)]
     assert any("ran_twice" in text for r in unfenced for text in r.broken)
     for seed in (10, 15):
