--- a/pearstep/controller/leader_loop.py
+++ b/pearstep/controller/leader_loop.py
@@ -1,6 +1,6 @@
-"""Acts as the leader while this node holds the leader lease: plans routes and scales the fleet.
+"""Act as the leader while this node holds the leader lease: plan routes and scale the fleet.
 
-It also reads the machine types, which every node needs.
+The machine types, which every node needs, are read here too.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from pearstep.transport.clock import now_us
 from pearstep.transport.kv_client import KeyValueStore
 
-# A pass begins after so long even if nothing asks for it.
+# Longest wait between two planning passes.
 PASS_INTERVAL_S = 0.7
-# So long is waited while this node does not lead or must not act.
+# Wait while this node does not lead or must not act.
 IDLE_WAIT_S = 0.1
 FLEET_INTERVAL_S = 0.4
 MACHINE_TYPES_INTERVAL_S = 30
@@ -30,7 +30,7 @@
 
 
 class LeaderLoop:
-    """The leader's loops; the machine types are shared with all that decides."""
+    """The leader's loops. The dict of machine types is shared with all components that make decisions."""
 
     def __init__(  # noqa: PLR0913 - one argument for each collaborator, as the controller wires them
         self,
@@ -43,17 +43,17 @@
         on_machine_types: Callable[[], None],
         extension: Extension | None = None,
     ) -> None:
-        """Wire the loops.
+        """Create the loops.
 
         Args:
-            settings: The pace of the passes.
-            leases: Says whether this node leads.
-            kv: The state service's client.
-            cloud: The cloud's client.
+            settings: The operators' settings for the pace of passes.
+            leases: Holds the leadership while this node leads.
+            kv: The client of the state service.
+            cloud: The client of the cloud.
             machine_types: The machine types on offer, updated here.
-            pass_requested: Set by whoever asks for a pass.
+            pass_requested: Set to request a pass.
             on_machine_types: Called when the machine types have been read.
-            extension: What acts before and after planning.
+            extension: Called before and after planning.
         """
         self.settings = settings
         self.leases = leases
@@ -65,7 +65,7 @@
         self._extension = extension
 
     async def plan_routes(self) -> None:
-        """Make one pass over what waits, once something asks for it."""
+        """Wait until a pass is requested or the interval has passed, then plan and write routes once."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.pass_requested.wait(), PASS_INTERVAL_S)
         self.pass_requested.clear()
@@ -87,21 +87,21 @@
         await pause_after_pass(self.settings, now_us() - planning_us)
 
     def _acting_leadership(self) -> Leadership | None:
-        """Return this node's leadership while it can and may act on it."""
+        """Return this node's leadership if it has one and may act on it now."""
         leadership = self.leases.leadership
         if leadership is None or self.kv.unavailable_since_us is not None or not self.leases.may_act():
             return None
         return leadership
 
     async def scale_fleet(self) -> None:
-        """Rent and drain machines."""
+        """Wait, then rent and drain machines."""
         await asyncio.sleep(FLEET_INTERVAL_S)
         leadership = self._acting_leadership()
         if leadership is not None:
             await leadership.scale_fleet()
 
     async def refresh_machine_types(self) -> None:
-        """Read the machine types on offer, now and then: prices move."""
+        """Read the machine types on offer, then wait; they are read again because prices change."""
         types = await self.cloud.machine_types()
         if types:
             self.machine_types.update(types)
--- a/pearstep/controller/leadership.py
+++ b/pearstep/controller/leadership.py
@@ -1,4 +1,4 @@
-"""One leadership of this node: its fencing token, and what it writes and plans under it."""
+"""One leadership of this node: its fencing token, and the routes and machine requests written under it."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
 
 
 class Leadership:
-    """This node while it leads.
+    """One term of this node as the leader.
 
-    Its fencing token is the revision of the leader's key. Routes are written by the ``RouteWriter``,
-    machines rented and drained by the ``AutoscalerLoop``, both under that token.
+    Its fencing token is the revision of the leader's key. The ``RouteWriter`` writes routes and the
+    ``AutoscalerLoop`` rents and drains machines, both under that token.
     """
 
     def __init__(  # noqa: PLR0913 - one argument for each collaborator; bundled in a LeaderContext here
@@ -81,7 +81,7 @@
         apply_own_commit: Callable[[str, int, object], None],
         read_barrier: Callable[[], Awaitable[bool]],
     ) -> None:
-        """Begin to lead under a fencing token."""
+        """Build the components of a leadership with a fencing token."""
         context = LeaderContext(
             settings=settings,
             replica=replica,
@@ -109,15 +109,15 @@
     async def commit(
         self, puts: dict[str, Any], conditions: dict[str, int], deletes: list[str] | None = None
     ) -> str:
-        """Write under the fencing token, as ``LeaderTransactions.commit``."""
+        """Write under the fencing token; see ``LeaderTransactions.commit``."""
         return await self.transactions.commit(puts, conditions, deletes)
 
     def is_current(self) -> bool:
-        """Tell whether this leadership is not known to be over."""
+        """Tell whether the replica still shows this leadership as the current one."""
         return self.transactions.is_current()
 
     async def fix_shard_layout(self) -> None:
-        """Record once how machines are dealt to shards, before the first is registered."""
+        """Record once how machines are assigned to shards, before the first machine is registered."""
         zones = self.settings.shard_zones
         if self.replica.layout is not None or not zones:
             return
@@ -132,7 +132,7 @@
             await self.commit({LAYOUT_KEY: layout}, {LAYOUT_KEY: 0})
 
     def plan(self) -> list[RoutePlan]:
-        """Return the routes that should change."""
+        """Return plans for the routes that should change."""
         settle_us = to_us(self.settings.tuning.renting.settle_s)
         return self.planner.plan(self.now_us(), settle_us, self.wall_us())
 
@@ -141,5 +141,5 @@
         await self.route_writer.write_routes(plans)
 
     async def scale_fleet(self) -> None:
-        """Rent and drain machines, one pass."""
+        """Run one pass that rents and drains machines."""
         await self.autoscaler_loop.run_pass()
--- a/pearstep/controller/replica_follower.py
+++ b/pearstep/controller/replica_follower.py
@@ -1,4 +1,4 @@
-"""Keep this node's replica of all records up to date, and offer linearizable reads of it."""
+"""Keep this node's replica of all records up to date, and provide linearizable reads of it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 log = EventLogger("pearstep.replica")
 
-# The state service no longer has the changes that were asked for: everything must be read anew.
+# The state service no longer has the requested changes: all records must be listed again.
 CHANGES_COMPACTED = 410
 DEFAULT_WATCH_TIMEOUT_MS = 10_000
 
@@ -29,10 +29,10 @@
     """Follows the changes of the state service.
 
     Attributes:
-        loads: How often everything was read.
+        loads: How often all records were listed.
         watch_timeout_ms: How long a watch request waits for changes.
-        on_read_completed: Called with the time at which a read was sent, once its answer is applied:
-            everything that was committed before is in the replica.
+        on_read_completed: Called once the answer to a read is applied, with the time at which the read was
+            sent. The replica then has everything that was committed before that time.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         on_change: Callable[[str, bool], None],
         on_holders: Callable[[], None],
     ) -> None:
-        """Follow the state service; nothing is read yet.
+        """Create the follower; nothing is read yet.
 
         Args:
             kv: The state service.
-            replica: What is kept up to date.
+            replica: The replica to keep up to date.
             leading: The operators' settings for the pauses between reads.
             on_change: Called with each key that changed, and whether it was there before.
             on_holders: Called when lease holders may have changed.
@@ -61,7 +61,7 @@
         self._barrier_pause_s = leading.refresh_ms / 1000
         self._on_change = on_change
         self._on_holders = on_holders
-        # The result of the next read barrier, for all that wait for it; None if nobody does.
+        # The result of the next read barrier, shared by all waiting callers; None if there are none.
         self._next_barrier: asyncio.Future[bool] | None = None
         self._serving_barriers = False
         self._last_barrier_us = 0
@@ -69,17 +69,17 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether everything was read once."""
+        """Whether all records have been listed at least once."""
         return self.loads > 0
 
     async def load(self) -> bool:
-        """Read everything anew.
+        """List all records except history blocks, and make the replica match the listing.
 
         Returns:
             False if the state service did not answer.
         """
         sent_us = now_us()
-        # Blocks of finished jobs come last, and nothing waits for them.
+        # Blocks of finished jobs have the last keys, and nothing here depends on them.
         listing = await self.kv.list_all(end_key=HISTORY_BLOCK_PREFIX)
         if listing is None:
             return False
@@ -100,7 +100,7 @@
         return True
 
     def _delete_unlisted(self, listed: set[str], revision: int) -> None:
-        """Delete what the replica has and a listing at a revision has not."""
+        """Delete the replica's keys that a listing at a revision does not contain."""
         unlisted = [
             key
             for key in self.replica.versions
@@ -111,7 +111,7 @@
                 self._on_change(key, False)
 
     async def follow(self) -> None:
-        """Wait once for changes, and apply them."""
+        """Wait for changes once, and apply them; list all records first if that has not been done."""
         if not self.loaded and not await self.load():
             await asyncio.sleep(random.uniform(0.2, 0.4))
             return
@@ -126,8 +126,8 @@
         self.apply_changes(changes)
         self.on_read_completed(sent_us)
         await asyncio.sleep(self._pause_s)
-        # Read barriers of users keep the replica up to date already: no need to read the changes twice. What
-        # is waited for is a time that moves, not an event.
+        # Read barriers for user requests keep the replica up to date too, so the same changes need not be
+        # read twice. Each barrier postpones the end of this wait, so the wait cannot be for an event.
         while (rest_us := self._last_barrier_us + int(self._pause_s * SECOND_US) - now_us()) > 0:  # noqa: ASYNC110
             await asyncio.sleep(rest_us / SECOND_US)
 
@@ -137,8 +137,8 @@
         applied_revision = self.replica.revision
         for event in changes.events:
             if event.version <= applied_revision:
-                # Answers overlap. A put that was read before its key's deletion and comes after it would
-                # bring the key back: a job that has left its record, or a placement that is over.
+                # Answers overlap. A put that was read before the deletion of its key but is applied after it
+                # would restore the key: a job whose record was removed, or a placement that has ended.
                 continue
             if event.put is not None:
                 touched |= self._put(event.put, event.version, bytes(event.value))
@@ -150,7 +150,7 @@
             self._on_holders()
 
     def _put(self, key: str, version: int, raw: bytes) -> bool:
-        """Apply one record; False if the replica has it already."""
+        """Apply one record; return False if the replica already has it."""
         existed = self.replica.version_of(key) > 0
         if self.replica.put(key, version, raw, now_us()):
             self._on_change(key, existed)
@@ -158,7 +158,7 @@
         return False
 
     def apply_own_commit(self, key: str, version: int, value: object) -> None:
-        """Apply a record that this node has committed, without waiting until it is read back."""
+        """Apply a record that this node has committed, without waiting to read it back."""
         self._put(key, version, msgspec.json.encode(value))
 
     async def read_barrier(self) -> bool:
@@ -176,7 +176,7 @@
         return await self._next_barrier
 
     async def _serve_barriers(self) -> None:
-        """Read the changes as long as somebody waits for it."""
+        """Read the changes repeatedly while callers wait for a read barrier."""
         self._serving_barriers = True
         try:
             while self._next_barrier is not None:
@@ -193,7 +193,7 @@
             self._serving_barriers = False
 
     async def _read_changes(self) -> bool:
-        """Read all changes at once; False if the state service did not answer."""
+        """Read all changes without waiting for new ones; False if the state service did not answer."""
         sent_us = now_us()
         changes = await self.kv.read_changes(self.replica.revision, 0, urgency=0)
         if isinstance(changes, int):
--- a/pearstep/controller/route_writer.py
+++ b/pearstep/controller/route_writer.py
@@ -1,4 +1,4 @@
-"""Writes the routes that the leader plans, in as few transactions as their limits allow."""
+"""Write the routes that the leader plans, in as few transactions as the size limits allow."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 log = EventLogger("pearstep.leader")
 
-# Plans older than this are made afresh.
+# Plans that are not written within this time are dropped and made again.
 MAX_WRITE_US = 600_000
 READ_RETRY_S = 0.2
 
@@ -28,11 +28,11 @@
         self._size = transactions.new_size()
 
     def reserve(self, puts: dict[str, Any], conditions: dict[str, int]) -> bool:
-        """Take up the transaction's size for a plan's records; False if they do not fit."""
+        """Reserve space in the transaction for a plan's records; False if they do not fit."""
         return self._transactions.try_add(self._size, puts, conditions)
 
     def add(self, plan: RoutePlan, puts: dict[str, Any], conditions: dict[str, int]) -> None:
-        """Add a plan whose size is reserved."""
+        """Add a plan whose space has been reserved."""
         self.plans.append(plan)
         self.puts.update(puts)
         self.conditions.update(conditions)
@@ -42,7 +42,7 @@
     """Writes route plans under one leadership."""
 
     def __init__(self, context: LeaderContext, transactions: LeaderTransactions) -> None:
-        """Write with the transactions of a leadership."""
+        """Create a writer that uses the transactions of a leadership."""
         self.replica = context.replica
         self.kv = context.kv
         self.now_us = context.now_us
@@ -50,11 +50,11 @@
         self.transactions = transactions
 
     async def write_routes(self, plans: list[RoutePlan]) -> None:
-        """Write new routes, and wait until it is known what became of withdrawn ones."""
+        """Write new routes, and after withdrawals wait until the replica is up to date."""
         await self.write_plans(plans)
         if any(plan.withdrawn and not plan.moved for plan in plans):
-            # Nothing was said of what is placed there: an owner may have placed a task before its route
-            # was taken back. Before such a task can be routed anew, that must be known here.
+            # The transaction had no condition on placements, so an owner may have placed a task before its
+            # route was withdrawn. The replica must show that before the task can be routed again.
             await self._read_until_current()
 
     async def _read_until_current(self) -> None:
@@ -64,13 +64,14 @@
             await asyncio.sleep(READ_RETRY_S)
 
     async def write_plans(self, plans: list[RoutePlan]) -> None:
-        """Write plans, as many as fit in one transaction.
+        """Write plans, as many in each transaction as fit.
 
-        All that was planned together is written in one go: a hundred jobs that came at once would otherwise
-        wait for a pass each dozen. A plan that is out of date fails on its conditions and is made afresh.
-        What moves tasks fails often, since owners place them meanwhile, so each move is written by itself,
-        after the rest. Seen: with long arrays on the move, every few seconds the routes of new gangs failed
-        with them.
+        All plans of a pass are written before the next pass. Otherwise a hundred jobs submitted together
+        would need one pass for each dozen. An outdated plan fails on its conditions and is planned again.
+
+        Plans that move tasks often fail because owners place the tasks in the meantime, so each move has a
+        transaction of its own, after the other plans. Seen: while long arrays were being moved, the routes of
+        new gangs failed with them every few seconds.
         """
         batch = _RouteBatch(self.transactions)
         started_us = self.now_us()
@@ -96,8 +97,8 @@
     ) -> None:
         """Write plans in one transaction.
 
-        If they are malformed together, each is written by itself; one that is malformed by itself is written
-        step by step.
+        If the transaction is malformed, each plan is written separately. A single plan whose transaction is
+        malformed is written step by step.
         """
         log.debug("writing routes", keys=list(puts))
         if await self.transactions.commit(puts, conditions) != CommitOutcome.MALFORMED:
@@ -109,7 +110,7 @@
             await self._write_group([plan], *plan.writes())
 
     async def _write_steps(self, plan: RoutePlan) -> None:
-        """Write a plan shard by shard. What is left when a step fails is planned anew."""
+        """Write a plan shard by shard. The steps after a failed one are left to the next planning pass."""
         for step in plan.steps():
             conditions = dict(step.conditions)
             if step.follows_withdrawal:
