--- a/pearstep/controller/agent_gateway.py
+++ b/pearstep/controller/agent_gateway.py
@@ -1,4 +1,4 @@
-"""The agents of machines: their heartbeats, and commands sent straight to them."""
+"""Answer heartbeats of machine agents, and send direct commands to agents."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 log = EventLogger("pearstep.agent_gateway")
 
 MAX_COMMANDS_PER_MESSAGE = 400
-# Misdirected heartbeats that lie no further apart belong to one series.
+# Misdirected heartbeats of a machine belong to one series if the gaps between them are no longer than this.
 MISDIRECTED_SERIES_US = 6 * SECOND_US
-# Of the agents whose heartbeats were misdirected so many are probed, in a time within which a peer still
-# waits for this controller's observation.
+# How many agents with misdirected heartbeats are probed. The timeout is short enough for the result to reach
+# the peer that queries this controller.
 PROBED_AGENTS, PROBE_TIMEOUT_S = 3, 0.6
 COMMAND_TIMEOUT_S = 4.0
-# When an agent that is answered 503 comes back, in seconds.
+# The Retry-After header of a 503 answer to an agent, in seconds.
 RETRY_AFTER_S = "1"
 
 
 class MisdirectedHeartbeat(NamedTuple):
-    """A heartbeat that came to a controller that does not own the machine's shard.
+    """A series of heartbeats sent to a controller that does not own the machine's shard.
 
-    With it: when the series of them began, when the last one came, and the agent's address.
+    ``first_us`` and ``last_us`` are the times of the first and the last heartbeat of the series.
     """
 
     shard_id: int
@@ -50,7 +50,7 @@
 
 
 def to_heartbeat(message: wire.HeartbeatMessage) -> Heartbeat:
-    """Convert a heartbeat to the core's type; seconds become microseconds."""
+    """Convert a heartbeat message to the domain type; seconds become microseconds."""
     notice_s = message.notice_s
     return Heartbeat(
         message.machine,
@@ -70,7 +70,7 @@
 
 
 def _unavailable(reason: str) -> Answer:
-    """Answer that the agent shall try again, here or at another controller."""
+    """Build a 503 answer: the agent should retry here or at another controller."""
     return 503, wire.encode_error(reason), {"Retry-After": RETRY_AFTER_S}
 
 
@@ -79,9 +79,9 @@
 
 
 class AgentGateway:
-    """Takes heartbeats to the owner of the machine's shard, and its commands to the machine."""
+    """Passes heartbeats to the owner of the machine's shard, and the owner's commands to the machine."""
 
-    def __init__(  # noqa: PLR0913 - called by position; the controller's parts are put together there
+    def __init__(  # noqa: PLR0913 - one argument for each collaborator, as the controller wires them
         self,
         client: Client,
         replica: Replica,
@@ -94,7 +94,7 @@
         request_pass: Callable[[], None],
         redirect_us: int = 0,
     ) -> None:
-        """Answer agents for the shards in ``owners``.
+        """Create a gateway for the shards in ``owners``.
 
         Args:
             client: For requests to agents.
@@ -102,11 +102,11 @@
             owners: The shards that this controller owns now; shared with the lease manager.
             node: This controller's name.
             shard_count: How many shards there are.
-            zones: Each shard's zone; empty if shards don't keep to zones.
+            zones: The zone of each shard; empty if shards are not bound to zones.
             now_us: The monotonic clock in microseconds.
-            wall_us: The time of day in microseconds.
-            request_pass: Asks for a pass over the owned shards.
-            redirect_us: How long an agent that its controller does not answer is kept from going back there.
+            wall_us: The wall clock in microseconds.
+            request_pass: Requests a pass over the owned shards.
+            redirect_us: How long an agent whose shard's holder does not answer is redirected to other nodes.
         """
         self.client = client
         self.replica = replica
@@ -118,14 +118,14 @@
         self.now_us = now_us
         self.wall_us = wall_us
         self.request_pass = request_pass
-        # Who held each shard's lease when it was last held.
+        # The last known holder of each shard's lease, if it is another node.
         self.last_holder: dict[int, str] = {}
         self.redirect_us = redirect_us
         self.may_act: Callable[[], bool] = lambda: True
-        # Whether the state service does not serve this node, so that it may have missed a failover.
+        # Whether the state service is unavailable to this node, which may then have missed a failover.
         self.kv_unavailable: Callable[[], bool] = lambda: False
-        # Machines whose heartbeats came here although another node owns their shard: what tells an owner
-        # that it is cut off from its agents, and not they from everyone.
+        # Machines that sent heartbeats here although another node owns their shard. They show an owner that
+        # it has lost contact with its agents, rather than the agents with all nodes.
         self.misdirected: dict[str, MisdirectedHeartbeat] = {}
         self._tasks = BackgroundTasks(log)
 
@@ -142,7 +142,7 @@
             return 400, wire.encode_error(str(err)), {}
         layout = self.layout()
         if layout is None or not self.may_act():
-            # What was read before the process paused may be over: the agent asks another node meanwhile.
+            # Ownership that was read before a process pause may have ended. The agent asks another node.
             return _unavailable("not certain what is owned here")
         shard_id = layout.shard_of(message.machine, message.zone)
         owner = self.owners.get(shard_id)
@@ -162,10 +162,11 @@
         return self._answer_owned(message, owner)
 
     def _on_later_token(self, message: wire.HeartbeatMessage, shard_id: int, owner: ShardOwner) -> None:
-        """Give up a shard that somebody has taken over: tokens are given to lease holders alone.
+        """Stop owning a shard if an agent's later fencing token shows that another node has claimed it.
 
-        While the state service serves this node, it says so itself: an agent whose token comes from a state
-        that was set back must not cost anybody a shard.
+        Only lease holders get fencing tokens. While the state service is available, the replica shows a
+        takeover, and the agent's token is ignored: it may come from a state that was reset since, and must
+        not make an owner lose its shard.
         """
         if not self.kv_unavailable():
             return
@@ -179,15 +180,15 @@
         del self.owners[shard_id]
 
     def _answer_owned(self, message: wire.HeartbeatMessage, owner: ShardOwner) -> Answer:
-        """Answer a heartbeat of a machine whose shard is owned here, with the commands for it."""
+        """Answer a heartbeat of a machine whose shard this node owns, with the machine's commands."""
         now = self.now_us()
         machine = owner.on_heartbeat(to_heartbeat(message), now, self.wall_us())
         if machine is None:
             return _unavailable("machine not usable")
         if log.is_enabled_for(logging.DEBUG):
             self._log_tasks(message, machine)
-        # While the state service does not serve this node, others tell users that jobs are cancelled, and of
-        # these nothing starts any more.
+        # While the state service is unavailable to this node, other nodes may confirm cancellations to users,
+        # and no task of a cancelled job may start. So no start commands are sent.
         commands = owner.commands_for(machine, starts=not self.kv_unavailable())[:MAX_COMMANDS_PER_MESSAGE]
         owner.on_heartbeat_answered(machine, now)
         if owner.pass_due or owner.pending_writes:
@@ -209,37 +210,40 @@
     # -- misdirected heartbeats ------------------------------------------------------------------
 
     def _answer_misdirected(self, message: wire.HeartbeatMessage, shard_id: int) -> Answer:
-        """Answer an agent whose shard another node owns, or nobody."""
+        """Answer an agent whose shard this node does not own."""
         now = self.now_us()
-        first_us = self._note_misdirected(message, shard_id, now)
+        first_us = self._record_misdirected(message, shard_id, now)
         holder = self.replica.shard_holders.get(shard_id)
         if holder is not None and message.fencing_token > holder.fencing_token:
-            # It knows a later holder than this node, and goes on till it is there. Seen: two nodes that had
-            # lost the state service and each other named one another, each by its own old replica, and the
-            # agents went to and fro between them until their leases were over (510 tasks in one run).
+            # The agent has the token of a later holder than this node's replica shows, and keeps trying nodes
+            # until it reaches that holder. Seen: two nodes without contact to the state service and to each
+            # other redirected agents to one another by their outdated replicas, and the agents alternated
+            # between them until their leases expired (510 tasks in one run).
             return _unavailable("the part's holder is not known here")
-        redirected_for_us = now - first_us
+        misdirected_for_us = now - first_us
         if holder is not None and holder.node not in ("", self.node):
             self.last_holder[shard_id] = holder.node
-            # Seen: a new holder had sent its token to every machine, and agents on their way to it were sent
-            # round instead (76 tasks killed by their lease after all controllers had ended). Whoever had no
-            # answer has waited for it.
+            # A new holder is named even to agents that have its token. Seen: a new holder had sent its token
+            # to every machine, and agents that were looking for it were redirected to other nodes instead (76
+            # tasks killed by their lease after all controllers had ended). An agent that got no answer from
+            # the holder has already waited for it.
             is_new = now - holder.observed_at_us < AGENT_FAILOVER_US
-            knows_holder = message.fencing_token == holder.fencing_token
-            if is_new or not knows_holder or redirected_for_us >= self.redirect_us:
+            has_holder_token = message.fencing_token == holder.fencing_token
+            if is_new or not has_holder_token or misdirected_for_us >= self.redirect_us:
                 return _redirect(holder.node)
-        # It was with the holder, and comes because it has no answer there; or nobody holds the shard, and one
-        # of the nodes will. Seen: it was sent back to a node that was cut off, or told 503 and went there by
-        # itself, waited four seconds more, and its lease was over before anyone else had the shard (381 tasks
-        # on a day of cuts). Meanwhile it goes round the others.
-        if redirected_for_us < self.redirect_us:
+        # Either the agent had contact with the holder and now gets no answer from it, or the shard has no
+        # holder and some node will claim it. In the meantime the agent is redirected to the other nodes.
+        # Seen: agents were redirected back to a partitioned node, or got 503 and returned to it by
+        # themselves, waited four more seconds, and their leases expired before another node had claimed the
+        # shard (381 tasks on a day of network partitions).
+        if misdirected_for_us < self.redirect_us:
             other = self._other_node(self.last_holder.get(shard_id, ""))
             if other is not None:
                 return _redirect(other)
         return _unavailable("nobody answers for the part now")
 
-    def _note_misdirected(self, message: wire.HeartbeatMessage, shard_id: int, now: int) -> int:
-        """Note a misdirected heartbeat; return when the series that it belongs to began."""
+    def _record_misdirected(self, message: wire.HeartbeatMessage, shard_id: int, now: int) -> int:
+        """Record a misdirected heartbeat; return when its series began."""
         earlier = self.misdirected.get(message.machine)
         if earlier is None or now - earlier.last_us > MISDIRECTED_SERIES_US:
             first_us = now
@@ -249,12 +253,12 @@
         return first_us
 
     def _other_node(self, holder: str) -> str | None:
-        """Return a node that lives, as far as is known, and is neither this one nor the holder."""
-        alive = {known.node for known in self.replica.shard_holders.values()} - {"", self.node, holder}
+        """Return a node that holds a shard, is not this node and is not ``holder``; None if there is none."""
+        alive = {record.node for record in self.replica.shard_holders.values()} - {"", self.node, holder}
         return min(alive, key=lambda node: (node < self.node, node), default=None)
 
     def layout(self) -> ShardLayout | None:
-        """Return how machines are assigned to shards; None as long as that is not decided."""
+        """Return how machines are assigned to shards; None while that is undecided."""
         record = self.replica.layout
         if record is None and self.zones and not self.replica.machines:
             return None
@@ -264,7 +268,7 @@
         return self._layout[1]
 
     def count_misdirected(self, within_us: int) -> dict[int, int]:
-        """Count the machines of each shard whose heartbeats were misdirected here of late."""
+        """Count the machines of each shard that sent misdirected heartbeats here within a time."""
         now = self.now_us()
         kept_us = max(within_us, MISDIRECTED_SERIES_US)
         self.misdirected = {
@@ -281,10 +285,10 @@
         )
 
     async def count_misdirected_reachable(self, within_us: int) -> dict[int, int]:
-        """Count the same, of shards whose agents this node reaches itself.
+        """Count machines as ``count_misdirected`` does, for shards whose agents answer this node's probes.
 
-        Seen: the answers of all nodes were lost on the way to a zone; its agents, with no answer anywhere,
-        sent heartbeats to every node, and each owner gave up its shards to another that received no more.
+        Seen: the answers of all nodes to the agents of one zone were lost. The agents sent heartbeats to
+        every node, and each owner released its shards to another node that had no better contact.
         """
         counts = self.count_misdirected(within_us)
         for shard_id in list(counts):
@@ -309,14 +313,14 @@
     # -- commands --------------------------------------------------------------------------------
 
     def send_commands(self, owner: ShardOwner, actions: ShardActions) -> None:
-        """Send direct commands, each machine on its own."""
+        """Send direct commands to machines, with one request for each machine."""
         for name, commands in actions.commands.items():
             machine = owner.machines.get(name)
             if machine is not None:
                 self._tasks.start(self._send(owner, machine, commands[:MAX_COMMANDS_PER_MESSAGE]))
 
     async def _send(self, owner: ShardOwner, machine: Machine, commands: list[Command]) -> None:
-        """Send commands to one machine; its answer is a heartbeat."""
+        """Send commands to one machine, whose answer has the form of a heartbeat."""
         owner.on_commands_sent(machine, commands, self.now_us())
         incarnation = machine.incarnation
         status, body = await self.client.fetch(
@@ -326,7 +330,7 @@
             wire.encode_commands(owner.fencing_token, commands, incarnation),
             COMMAND_TIMEOUT_S,
         )
-        # 409: the machine has another incarnation than the commands name, or knows a later token.
+        # 409: the machine has another incarnation than the commands name, or has a later fencing token.
         if status not in (200, 409):
             return
         try:
--- a/pearstep/controller/agent_silence.py
+++ b/pearstep/controller/agent_silence.py
@@ -8,9 +8,9 @@
 
 # How long agents may take to find a new owner.
 AGENT_REDISCOVERY_US = 8 * SECOND_US
-# Fewer silent machines say nothing about the network.
+# Fewer silent machines are no evidence of a network fault.
 MIN_SILENT_MACHINES = 2
-# A shard is silent if at least three of four of its machines are.
+# A shard is silent if at least three of four of its machines are (numerator and denominator).
 SILENT_SHARE = (3, 4)
 
 
@@ -18,22 +18,22 @@
     """Counts the silent machines of the shards that this node owns.
 
     Attributes:
-        silent_shards: The number of silent machines by shard, of the shards that are silent.
+        silent_shards: The number of silent machines of each silent shard.
     """
 
     def __init__(self, owners: dict[int, ShardOwner], heartbeat_interval_us: int) -> None:
-        """Watch owned shards, whose agents send heartbeats at an interval."""
+        """Create a detector for the shards in ``owners``, whose agents send heartbeats at an interval."""
         self._owners = owners
         self._limit_us = heartbeat_interval_us + SECOND_US
         self._refused_until_us = -AGENT_REDISCOVERY_US
         self.silent_shards: dict[int, int] = {}
 
     def heartbeats_accepted_again(self, now_us: int) -> None:
-        """Record that this node refused all heartbeats until now, and agents have left it meanwhile."""
+        """Record that this node refused all heartbeats until now, so agents have turned to other nodes."""
         self._refused_until_us = now_us
 
     def update(self, now_us: int) -> None:
-        """Count the silent machines anew."""
+        """Count the silent machines again."""
         limit_us = self._limit_us
         if now_us - self._refused_until_us < AGENT_REDISCOVERY_US:
             limit_us += AGENT_REDISCOVERY_US
--- a/pearstep/controller/health_monitor.py
+++ b/pearstep/controller/health_monitor.py
@@ -1,6 +1,7 @@
 """Detect process pauses, and collect the evidence for ``failure_detection.reachability``.
 
-The evidence comes from this node's own contact with its neighbours and, while it misses one, from its peers.
+The evidence comes from this node's own contact with its neighbours and, while it has lost contact with one,
+from its peers.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 PAUSE_CHECK_INTERVAL_US = SECOND_US // 4
 CLOUD_FAILURE_US = 3 * SECOND_US
-# Peers ask the cloud before they answer: they are asked about it no more often than this.
+# Peers query the cloud before they answer, so they are asked about it no more often than this.
 CLOUD_QUERY_INTERVAL_US = 2 * SECOND_US
 # How long a misdirected heartbeat counts as recent.
 MISDIRECTED_RECENT_US = 6 * SECOND_US
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HealthMonitorDependencies:
-    """What a ``HealthMonitor`` works with."""
+    """The dependencies of a ``HealthMonitor``."""
 
     settings: Settings
     kv: KeyValueStore
@@ -45,18 +46,18 @@
     agents: AgentGateway
     peers: PeerClient
     replica: Replica
-    # The shards that this node owns, shared with those that act on them.
+    # The shards that this node owns; other components share this dict.
     owners: dict[int, ShardOwner]
     follower: ReplicaFollower
-    # The monotonic clock.
+    # The monotonic clock, microseconds.
     now_us: Callable[[], int]
 
 
 class HealthMonitor:
-    """Feeds ``Reachability``; what follows from its state is decided elsewhere."""
+    """Records evidence in ``Reachability``. Other components decide what to do about its state."""
 
     def __init__(self, dependencies: HealthMonitorDependencies) -> None:
-        """Monitor this node, answer its peers, and observe its reads and its contact with the cloud."""
+        """Create the monitor, and register its callbacks with the follower, the peers and the cloud."""
         settings = dependencies.settings
         self.settings = settings
         self.kv = dependencies.kv
@@ -78,7 +79,7 @@
         self._tasks = BackgroundTasks(log)
         self._cloud_asked_us = 0
         self._pause_checked_us = self._started_us = now_us()
-        # Since when this node is stale; None if it is not.
+        # The time since when this node has been stale; None if it is not.
         self._stale_since_us: int | None = None
         self._logged_state = NodeHealth.HEALTHY
         self.follower.on_read_completed = self.staleness_bound.read_completed
@@ -108,16 +109,16 @@
         return status
 
     def detect_process_pause(self) -> bool:
-        """Tell whether the process was paused since the last call; if so, distrust the replica.
+        """Tell whether the process was paused since the last call; if so, mark the replica as not current.
 
-        Call it before anything that acts on the replica. It is trusted again after
+        Call it before anything that acts on the replica. The replica may be acted on again after
         ``Reachability.resume_completed``.
         """
         now = self.now_us()
         pause_us = now - self._pause_checked_us - PAUSE_CHECK_INTERVAL_US
         self._pause_checked_us = now
-        # A sleep that took so much longer than asked for: the process was paused, or is so busy that its
-        # replica is as old as if it had been.
+        # The interval between two calls was much longer than requested: the process was paused, or is so busy
+        # that its replica is as outdated as after a pause.
         if pause_us < self.settings.timeouts.process_pause_us:
             return False
         log.info("process pause detected", pause_s=round(pause_us / SECOND_US, 1))
@@ -134,7 +135,7 @@
         suspects = self.reachability.neighbours_to_verify(now)
         aging = self.follower.loaded and self.staleness_bound.needs_refresh(now)
         if aging and self.kv.unavailable_since_us is None:
-            # It is served, but the answer to the watch request does not come.
+            # The state service is available, but the watch request has not been answered.
             self._tasks.start(self.follower.read_barrier(), "read barrier")
         if (suspects or aging) and self.peers.peers:
             await self._query_peers(suspects)
@@ -144,14 +145,14 @@
             self.update()
 
     def update(self) -> None:
-        """Derive the health of this node from the evidence; the peers have been asked."""
+        """Derive the health of this node from the evidence; call it after the peers have been queried."""
         self.reachability.update(self.now_us())
-        self._follow_state()
+        self._on_state_updated()
 
     def check_staleness(self) -> None:
-        """Become stale if by now the replica is too old to answer agents."""
+        """Set the state to stale if the replica is now too old to answer agents."""
         self.reachability.check_staleness(self.now_us())
-        self._follow_state()
+        self._on_state_updated()
 
     def _record_kv_contact(self, now: int) -> None:
         unavailable_since_us = self.kv.unavailable_since_us
@@ -163,12 +164,12 @@
         """Record whether the agents of all owned shards send heartbeats here."""
         self.agent_silence.update(now)
         if self.owners:
-            # A stale node answers no agent, so that they leave it.
+            # A stale node refuses heartbeats, so agents turn to other nodes; that is not a loss of contact.
             reached = not self.agent_silence.silent_shards or self.reachability.state == NodeHealth.STALE
             self.reachability.record_contact(Neighbour.WORKERS, reached, now)
 
-    def _follow_state(self) -> None:
-        """Log a new state, and excuse the silence of agents that were not answered."""
+    def _on_state_updated(self) -> None:
+        """Log a change of state, and excuse the silence of agents whose heartbeats were refused."""
         now, state = self.now_us(), self.reachability.state
         if state != self._logged_state:
             log.info("node health changed", state=state, unreachable=self.reachability.unreachable)
@@ -182,7 +183,7 @@
             self.agent_silence.heartbeats_accepted_again(now)
 
     async def _query_peers(self, suspects: list[str]) -> None:
-        """Ask all peers about suspected neighbours, and for cancellations."""
+        """Query all peers about suspected neighbours and for cancellations."""
         sent_us = self.now_us()
         query = PeerQuery(
             cloud=Neighbour.CLOUD in suspects and sent_us - self._cloud_asked_us > CLOUD_QUERY_INTERVAL_US,
@@ -213,9 +214,10 @@
             self.reachability.record_peer_observation(Neighbour.CLOUD, reached, now)
 
     def _agents_reach_a_peer(self, statuses: list[PeerStatus]) -> bool:
-        """Tell whether one peer has received heartbeats from half of the silent agents of a shard.
+        """Tell whether one peer has received heartbeats from at least half of the silent agents of a shard.
 
-        Agents that are redirected from this node try its peers in turn: each may have heard them all.
+        Agents that this node redirects try its peers in turn, so every peer may have received heartbeats from
+        the same agents. The counts are therefore not added up.
         """
         for shard_id, silent in self.agent_silence.silent_shards.items():
             misdirected = (status.misdirected_by_shard.get(shard_id, 0) for status in statuses)
@@ -224,7 +226,7 @@
         return False
 
     async def _probe_agents(self) -> None:
-        """Ask some agents directly: none sends heartbeats to a node that owns no shard."""
+        """Probe some agents directly, because agents send no heartbeats to a node that owns no shard."""
         addresses = [
             record.address
             for name, (_, record) in self.replica.machines.items()
@@ -236,11 +238,11 @@
 
 
 def _reachability(settings: Settings, staleness_bound: StalenessBound) -> Reachability:
-    """Build the state machine with this cluster's timeouts."""
+    """Build the reachability state machine with this cluster's timeouts."""
     lease_us = settings.timeouts.lease_us
     patience_us: dict[str, int] = {
-        # A lease lasts for its whole length after its last renewal: until then nobody can take over, and
-        # releasing it earlier would leave the agents without an owner.
+        # A lease stays valid for its whole duration after its last renewal. Other nodes cannot take over
+        # before it ends, and an earlier release would leave the agents without an owner.
         Neighbour.STATE: lease_us,
         Neighbour.WORKERS: 0,
         Neighbour.CLOUD: CLOUD_FAILURE_US,
