--- a/pearstep/controller/autoscaler_loop.py
+++ b/pearstep/controller/autoscaler_loop.py
@@ -1,4 +1,4 @@
-"""Carries out the autoscaler's decisions: requests instances, reconciles the machine list, drains."""
+"""Carry out the autoscaler's decisions: request instances, reconcile the machine list, drain machines."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 
 log = EventLogger("pearstep.leader")
 
-# The cloud's machine list is read no more often than this, and no more often than that its pages take this
-# share of the requests that the cloud allows all nodes.
-LIST_US = 8 * SECOND_US
-LIST_SHARE = 1 / 8
-# A list that failed is asked for again after this part of the time between two.
-LIST_RETRY_FRACTION = 8
-# The instance requests of one pass are sent for so long.
+# Shortest interval between two reads of the cloud's machine list, and the largest share of the cloud's
+# request rate for all nodes that these reads may use.
+MIN_LIST_INTERVAL_US = 8 * SECOND_US
+MAX_LIST_REQUEST_SHARE = 1 / 8
+# A failed read of the list is retried after the list interval divided by this.
+LIST_RETRY_DIVISOR = 8
+# A pass sends no further instance request after this time.
 REQUEST_ROUND_US = SECOND_US
-# A request without an answer is repeated after this.
+# An instance request without an answer is sent again after this time.
 REQUEST_RETRY_US = 3 * SECOND_US
-# So many instance requests are forgotten together.
-MIN_FORGOTTEN_TOGETHER = 4
-# A shard without an owner keeps the fleet as it is for so long.
+# Completed instance requests are deleted once there are this many, in one transaction.
+MIN_REQUESTS_PER_DELETION = 4
+# The fleet is not scaled for this time after a shard has lost its owner.
 UNOWNED_SHARD_WAIT_US = 15 * SECOND_US
-# No consolidation for so long after work found no room.
+# No consolidation for this time after a pass with unplaced work.
 CONSOLIDATION_PAUSE_US = 10 * SECOND_US
-# Before any time that the clock shows.
+# Earlier than any time of the clock.
 NEVER_US = -(1 << 60)
 
 
 def list_interval_us(pages: int, requests_per_s: float) -> int:
-    """Return the time between two reads of a machine list of so many pages."""
-    return max(LIST_US, int(pages / (LIST_SHARE * requests_per_s) * 1e6))
+    """Return the interval between two reads of a machine list with a number of pages."""
+    return max(MIN_LIST_INTERVAL_US, int(pages / (MAX_LIST_REQUEST_SHARE * requests_per_s) * 1e6))
 
 
 class AutoscalerLoop:
@@ -57,7 +57,7 @@
         planner: RoutePlanner,
         autoscaler: Autoscaler,
     ) -> None:
-        """Act on the decisions of an autoscaler, for the work that a planner found no room for."""
+        """Create a loop that carries out an autoscaler's decisions for a planner's unplaced work."""
         self.settings = context.settings
         self.replica = context.replica
         self.cloud = context.cloud
@@ -69,16 +69,16 @@
         self.autoscaler = autoscaler
         self.request_count = 0
         self.last_request_at_us: dict[str, int] = {}
-        # When machines of each type, spot or not, were last asked for: they take turns.
+        # When machines of each type, spot or not, were last requested. The types take turns.
         self.type_requested_at_us: dict[tuple[str, bool], int] = {}
         self.listed_at_us = NEVER_US
-        self.list_interval_us = LIST_US
+        self.list_interval_us = MIN_LIST_INTERVAL_US
         self.has_listed = False
         self.started_at_us = self.now_us()
         self.all_owned_at_us = self.now_us()
 
     async def run_pass(self) -> None:
-        """Rent for what finds no room, return what is not needed, repeat what was not answered."""
+        """Repeat unanswered requests, rent machines for unplaced work, and drain unneeded machines."""
         now_us, wall_us = self.now_us(), self.wall_us()
         self.autoscaler.observe(now_us, wall_us)
         await self._repeat_requests(now_us)
@@ -90,16 +90,16 @@
             self.listed_at_us = now_us
             await self.reconcile_machine_list()
         if not self.has_listed:
-            return  # what a former leader rented may be gone: only the list tells
+            return  # machines that a former leader rented may no longer exist; only the list shows that
         unplaced = self.planner.unplaced + self.planner.unroutable
         await self._scale_out(unplaced, now_us, wall_us)
         await self._scale_in(unplaced, now_us, wall_us)
-        await self.forget_completed_requests()
+        await self.delete_completed_requests()
 
     def _is_shard_unowned(self, now_us: int) -> bool:
-        """Tell whether a shard has lost its owner a moment ago.
+        """Tell whether a shard has recently lost its owner.
 
-        It looks like machines without room; it is taken over in seconds.
+        The machines of such a shard appear to have no room, but another node takes the shard over in seconds.
         """
         owned = sum(bool(holder.node) for holder in self.replica.shard_holders.values())
         if owned < self.settings.shard_count and now_us - self.all_owned_at_us < UNOWNED_SHARD_WAIT_US:
@@ -111,9 +111,10 @@
     async def _scale_out(self, unplaced: list[UnplacedWork], now_us: int, wall_us: int) -> None:
         requests = self.autoscaler.plan_scale_out(unplaced, now_us, wall_us)
         while requests and self.now_us() - now_us <= REQUEST_ROUND_US:
-            # Requests are few a second. Seen: a round of twelve took five seconds, and what had become urgent
-            # meanwhile came last; and with the most urgent first each time, a machine or two for services
-            # that came one by one kept the gangs' machines back for six seconds.
+            # The cloud allows only a few requests per second, so machine types take turns. Seen: a round of
+            # twelve requests took five seconds, and work that became urgent during it was served last. Seen
+            # with the most urgent request always first: requests of one or two machines for services that
+            # were submitted one by one delayed the machines for gangs by six seconds.
             request = min(requests, key=lambda each: self.type_requested_at_us.get((each.type, each.spot), 0))
             requests.remove(request)
             self.type_requested_at_us[request.type, request.spot] = self.now_us()
@@ -129,9 +130,9 @@
             await self.drain(drains)
 
     async def _request(self, request: InstanceRequest) -> None:
-        """Record a request, then send it: whoever leads next can repeat it."""
+        """Record a request before sending it, so that a later leader can repeat it."""
         self.request_count += 1
-        # Never used again, by any node: the fencing token is this leadership's alone.
+        # Unique over all nodes and leaderships, because each leadership has its own fencing token.
         name = f"r-{self.fencing_token}-{self.request_count}"
         key = instance_request_key(name)
         record = InstanceRequestRecord(
@@ -176,30 +177,31 @@
             if record.machines is None and now_us - sent_at_us > REQUEST_RETRY_US:
                 await self._send_request(name, record)
 
-    async def forget_completed_requests(self) -> None:
+    async def delete_completed_requests(self) -> None:
         """Delete the records of requests whose machines have all come up or are being deleted."""
         completed = [
             instance_request_key(name)
             for name, record in self.replica.instance_requests.items()
-            if record.machines is not None and not any(m in self.autoscaler.booting for m in record.machines)
+            if record.machines is not None
+            and not any(machine in self.autoscaler.booting for machine in record.machines)
         ]
         completed = completed[: self.settings.txn_ops]
-        if len(completed) >= min(MIN_FORGOTTEN_TOGETHER, self.settings.txn_ops):
+        if len(completed) >= min(MIN_REQUESTS_PER_DELETION, self.settings.txn_ops):
             versions = {key: self.replica.version_of(key) for key in completed}
             await self.transactions.commit_independently({}, versions, completed)
 
     async def drain(self, drains: dict[str, DrainRecord]) -> None:
-        """Write the drains of machines, as many as one transaction may hold."""
+        """Record the drains of machines, as many as fit in one transaction."""
         written = islice(drains.items(), self.settings.txn_ops)
         puts = {drain_key(name): record for name, record in written}
-        log.info("draining machines", machines=[f"{n} ({r.reason})" for n, r in drains.items()])
+        log.info("draining machines", machines=[f"{name} ({drain.reason})" for name, drain in drains.items()])
         await self.transactions.commit_independently(puts, dict.fromkeys(puts, 0), [])
 
     async def reconcile_machine_list(self) -> None:
-        """Drain machines that failed, or that nobody expects and that never came up."""
+        """Read the machine list, and drain failed machines and unrequested machines that never came up."""
         listed = await self.cloud.machines()
         if listed is None:
-            retry_us = self.list_interval_us // LIST_RETRY_FRACTION
+            retry_us = self.list_interval_us // LIST_RETRY_DIVISOR
             self.listed_at_us = self.now_us() - self.list_interval_us + retry_us
             return
         cloud_settings = self.settings.params.cloud
@@ -209,14 +211,14 @@
         self.autoscaler.observe_machine_list(
             {item.name for item in listed}, to_us(cloud_settings.list_lag_s), wall_us
         )
-        drains = self._drains_of(listed, wall_us)
-        # A long list comes more rarely: then more of what it shows is written at once.
-        for _ in range(self.list_interval_us // LIST_US):
+        drains = self._drains_for(listed, wall_us)
+        # A long list is read less often, so more drains are written after each read.
+        for _ in range(self.list_interval_us // MIN_LIST_INTERVAL_US):
             if drains:
                 await self.drain(drains)
             drains = dict(islice(drains.items(), self.settings.txn_ops, None))
 
-    def _drains_of(self, listed: list[ListedMachine], wall_us: int) -> dict[str, DrainRecord]:
+    def _drains_for(self, listed: list[ListedMachine], wall_us: int) -> dict[str, DrainRecord]:
         """Return the drains that a machine list calls for."""
         drains: dict[str, DrainRecord] = {}
         requested = {
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,12 @@
 from hypothesis import strategies as st
 
 from pearstep.cli.up import MOST_MACHINES
-from pearstep.controller.autoscaler_loop import LIST_SHARE, LIST_US, AutoscalerLoop, list_interval_us
+from pearstep.controller.autoscaler_loop import (
+    MAX_LIST_REQUEST_SHARE,
+    MIN_LIST_INTERVAL_US,
+    AutoscalerLoop,
+    list_interval_us,
+)
 from pearstep.controller.cloud_client import CloudClient
 from pearstep.controller.leader_transactions import LeaderTransactions
 from pearstep.controller.settings import Renting
@@ -304,9 +309,15 @@
 @given(st.integers(1, 50), st.floats(0.5, 50.0))
 def test_listing_uses_no_more_than_its_share_of_the_clouds_budget(pages, rps):
     interval_s = list_interval_us(pages, rps) / SECOND_US
-    assert pages / interval_s <= LIST_SHARE * rps * (1 + 1e-6) or interval_s == LIST_US / SECOND_US
-    assert interval_s >= LIST_US / SECOND_US
-    assert interval_s == LIST_US / SECOND_US or interval_s <= pages / (LIST_SHARE * rps) + 1e-6
+    assert (
+        pages / interval_s <= MAX_LIST_REQUEST_SHARE * rps * (1 + 1e-6)
+        or interval_s == MIN_LIST_INTERVAL_US / SECOND_US
+    )
+    assert interval_s >= MIN_LIST_INTERVAL_US / SECOND_US
+    assert (
+        interval_s == MIN_LIST_INTERVAL_US / SECOND_US
+        or interval_s <= pages / (MAX_LIST_REQUEST_SHARE * rps) + 1e-6
+    )
 
 
 def test_an_owner_takes_in_and_deletes_4000_machines_within_the_transactions_limits():
--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -519,7 +519,7 @@
     leader = LeaderWithService(tmp_path, 2)
     for n in range(2):
         leader.put(f"h/r-1-{n}", InstanceRequestRecord("small", "a", False, 1, 1, ["i-1"]))
-    asyncio.run(leader.leadership.autoscaler_loop.forget_completed_requests())
+    asyncio.run(leader.leadership.autoscaler_loop.delete_completed_requests())
     assert not leader.view.instance_requests and check_limits(leader, 2, 2)
 
 
