--- a/pearstep/controller/controller.py
+++ b/pearstep/controller/controller.py
@@ -1,7 +1,7 @@
-"""Join the parts of a controller: serve requests, run the loops, and pass on what changed.
+"""Assemble a controller: serve requests, run the loops, and request passes when records change.
 
-``ReplicaFollower`` follows the state service, ``LeaseManager`` holds shards and the leadership, ``ShardLoop``
-and ``LeaderLoop`` act on them.
+``ReplicaFollower`` follows the state service, ``LeaseManager`` manages shards and the leadership, and
+``ShardLoop`` and ``LeaderLoop`` act on them.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 log = EventLogger("pearstep.controller")
 
-# At least so many connections at once, else this part of the file descriptors.
+# The limit of open connections is the file descriptor limit divided by the second value, at least the first.
 MIN_CONNECTIONS = 50
 DESCRIPTORS_PER_CONNECTION = 4
-# A controller may use so many times its share of the state service's rates in one burst.
-KV_REQUEST_BURST = 1.2
-KV_WRITE_BURST = 1.25
-# The leader asks the cloud for nearly all; the cloud itself bears two seconds' worth at once.
+# Rates at which a controller may use the state service, as multiples of its share.
+KV_REQUEST_RATE_FACTOR = 1.2
+KV_WRITE_RATE_FACTOR = 1.25
+# The leader sends nearly all cloud requests. The cloud allows bursts of two seconds' worth of requests.
 CLOUD_RATE_SHARE = 0.75
-# Kinds of keys, before their first slash (``pearstep.state.records``).
+# Kinds of keys: the part before the first slash (``pearstep.state.records``).
 JOB_KIND, ROUTE_KIND, PLACEMENT_KIND, MACHINE_KIND, DRAIN_KIND = "j", "r", "p", "m", "d"
-# Before a loop is repeated that has failed.
+# Pause before a failed loop is run again.
 FAILED_LOOP_PAUSE_S = 0.5
 
 
@@ -65,9 +65,9 @@
 
         Args:
             settings: The settings of the node.
-            extension: What it loads beside its own parts.
-            client: Its outgoing connections; sockets, unless given.
-            server: Builds a server for a handler; sockets, unless given.
+            extension: Additional features, such as the federation.
+            client: The client for outgoing connections; by default it uses sockets.
+            server: Builds a server for a handler; by default it listens on sockets.
         """
         self.settings = settings
         self.extension = extension
@@ -84,7 +84,7 @@
         self.shard_pass_requested = asyncio.Event()
         self.leader_pass_requested = asyncio.Event()
         self.follower = ReplicaFollower(
-            self.kv, self.replica, settings.tuning.leading, self._changed, self._holders_changed
+            self.kv, self.replica, settings.tuning.leading, self._on_record_changed, self._on_holders_changed
         )
         self.follower.watch_timeout_ms = settings.timeouts.watch_timeout_us // 1000
         self.job_api = self._build_job_api()
@@ -176,7 +176,7 @@
             self.agents,
             self.shard_pass_requested,
             self.leases.may_act,
-            self._changed,
+            self._on_record_changed,
         )
 
     def _build_leader_loop(self) -> LeaderLoop:
@@ -187,7 +187,7 @@
             self.cloud,
             self.machine_types,
             self.leader_pass_requested,
-            self._sync_ready,
+            self._update_readiness,
             self.extension,
         )
 
@@ -219,7 +219,7 @@
     # -- serving ---------------------------------------------------------------------------------
 
     def handle(self, request: HTTPServerRequest) -> Answer | Awaitable[Answer]:
-        """Answer whatever arrives on the public address."""
+        """Answer a request on the public address."""
         if request.path == wire.HEARTBEAT_PATH:
             return self.agents.handle_heartbeat(request)
         if request.path == wire.READY_PATH:
@@ -229,7 +229,7 @@
     def _answer_readiness(self, request: HTTPServerRequest) -> Answer:
         if request.method != "GET":
             return 405, wire.encode_error("method not allowed"), {"Allow": "GET"}
-        ready = self._may_answer() and self.health.reachability.can_serve_users(now_us())
+        ready = self._can_answer_users() and self.health.reachability.can_serve_users(now_us())
         return (200 if ready else 503), msgspec.json.encode({"ready": ready}), {}
 
     async def _answer_user(self, request: HTTPServerRequest) -> Answer:
@@ -264,10 +264,10 @@
         ]
         if self.extension is not None:
             loops += self.extension.loops()
-        await asyncio.gather(*(self._forever(loop) for loop in loops))
+        await asyncio.gather(*(self._repeat(loop) for loop in loops))
 
-    async def _forever(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Repeat a loop's round; a fault in it is logged and must not end the process."""
+    async def _repeat(self, loop: Callable[[], Awaitable[None]]) -> None:
+        """Run a loop's round repeatedly. An exception is logged and does not end the process."""
         while True:
             try:
                 await loop()
@@ -275,37 +275,37 @@
                 log.exception("loop failed", loop=loop.__name__)
                 await asyncio.sleep(FAILED_LOOP_PAUSE_S)
 
-    def _sync_ready(self) -> None:
+    def _update_readiness(self) -> None:
         self.job_api.machine_types = self.machine_types
-        self.job_api.ready = self._may_answer()
+        self.job_api.ready = self._can_answer_users()
 
-    def _may_answer(self) -> bool:
-        """Tell whether users can be answered.
+    def _can_answer_users(self) -> bool:
+        """Tell whether this node can answer users.
 
-        The replica must be loaded, and where finished jobs have left their records for the history, this
-        node must be able to read it.
+        The replica and the machine types must be loaded. If finished jobs have been moved to the history,
+        this node must be able to read it.
         """
         if self.replica.has_unread_history and not self._missing_history_logged:
             log.error("finished jobs are in the history, start this node with the option", option="--history")
             self._missing_history_logged = True
         return self.follower.loaded and bool(self.machine_types) and not self.replica.has_unread_history
 
-    # -- what changed ----------------------------------------------------------------------------
+    # -- changed records -------------------------------------------------------------------------
 
-    def _holders_changed(self) -> None:
-        self._sync_ready()
+    def _on_holders_changed(self) -> None:
+        self._update_readiness()
         self.leases.drop_lost_claims()
 
     def _request_passes(self) -> None:
         self.shard_pass_requested.set()
         self.leader_pass_requested.set()
 
-    def _changed(self, key: str, existed: bool = False) -> None:
+    def _on_record_changed(self, key: str, existed: bool = False) -> None:
         """Request the passes that a changed key calls for.
 
         Args:
             key: The key of a record.
-            existed: Whether it was there before, and only its value is new.
+            existed: Whether the record existed before, so that only its value changed.
         """
         kind, _, rest = key.partition("/")
         job_id = _job_id_of(kind, rest)
@@ -323,7 +323,7 @@
 
 
 def _job_id_of(kind: str, rest: str) -> str:
-    """Return the job that a key is about, by its kind and its rest; empty if it is about none."""
+    """Return the id of the job that a key belongs to; empty if it belongs to none."""
     if kind == JOB_KIND:
         return rest
     if kind in (ROUTE_KIND, PLACEMENT_KIND):
@@ -332,20 +332,22 @@
 
 
 def _open_client(settings: Settings) -> Client:
-    """Open connections; those to the state service and the cloud are kept."""
+    """Create the HTTP client; it keeps connections to the state service and the cloud open."""
     endpoints = settings.platform.endpoints
     connections = max(MIN_CONNECTIONS, settings.params.resources.fd_limit // DESCRIPTORS_PER_CONNECTION)
     return Client(connections, (endpoints.state, endpoints.cloud))
 
 
 def _open_kv(settings: Settings, client: Client) -> KeyValueStore:
-    """Connect to the state service, with this node's share of its rates."""
+    """Create the client of the state service, limited to this node's share of its rates."""
     limits, share = settings.params.state, settings.shard_count
     return KeyValueStore(
         client,
         settings.platform.endpoints.state,
-        RateLimiter(limits.rps / share * KV_REQUEST_BURST, limits.rps / share, now_us),
-        RateLimiter(limits.write_rps / share * KV_WRITE_BURST, max(limits.write_rps / share, 1.0), now_us),
+        RateLimiter(limits.rps / share * KV_REQUEST_RATE_FACTOR, limits.rps / share, now_us),
+        RateLimiter(
+            limits.write_rps / share * KV_WRITE_RATE_FACTOR, max(limits.write_rps / share, 1.0), now_us
+        ),
         now_us,
     )
 
