--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -1,4 +1,4 @@
-"""What makes certain how a transaction without an answer ended, and the meeting that it is for in the rig."""
+"""Tests of the write fence: transactions without an answer must not be executed after newer ones."""
 
 import asyncio
 from types import SimpleNamespace
@@ -17,96 +17,107 @@
 from tests.world import Ledger
 
 
-class Service:
-    """The state service for one holder. ``ends``: how its next transactions end: carried out with an answer,
-    without one, later, or refused.
+class FakeStateService:
+    """The state service for one lease holder.
+
+    ``outcomes`` lists how the next transactions end: executed and answered (``now``), executed without an
+    answer (``unsaid``), left pending without an answer (``later``), or ``refused``.
     """
 
     def __init__(self):
-        self.ledger, self.view = Ledger(), Replica()
+        self.ledger, self.replica = Ledger(), Replica()
         self.ledger.txn({}, {"leader": LeaseHolderRecord("n0")})
-        self.ledger.feed(self.view)
-        self.ends, self.pending, self.asked = [], [], 0
+        self.ledger.feed(self.replica)
+        self.outcomes, self.pending, self.commit_count = [], [], 0
 
     async def commit(self, conditions, puts, deletes=None, urgency=0):
-        self.asked += 1
-        work = (conditions, {k: v for k, (v, _) in puts.items()}, deletes)
-        how = self.ends.pop(0) if self.ends else "now"
-        if how == "refused":
+        self.commit_count += 1
+        transaction = (conditions, {key: value for key, (value, _) in puts.items()}, deletes)
+        outcome = self.outcomes.pop(0) if self.outcomes else "now"
+        if outcome == "refused":
             return CommitResult(CommitOutcome.REFUSED)
-        if how == "later":
-            self.pending.append(work)
+        if outcome == "later":
+            self.pending.append(transaction)
             return CommitResult(CommitOutcome.UNKNOWN)
-        found = self.ledger.txn(*work)
-        if how == "unsaid":
+        result = self.ledger.txn(*transaction)
+        if outcome == "unsaid":
             return CommitResult(CommitOutcome.UNKNOWN)
         return (
-            CommitResult(CommitOutcome.COMMITTED, found)
-            if isinstance(found, int)
-            else CommitResult(CommitOutcome.CONFLICT, 0, found)
+            CommitResult(CommitOutcome.COMMITTED, result)
+            if isinstance(result, int)
+            else CommitResult(CommitOutcome.CONFLICT, 0, result)
         )
 
-    async def fresh(self):
-        self.ledger.feed(self.view)
+    async def read_barrier(self):
+        self.ledger.feed(self.replica)
         return True
 
-    def applied(self, key, stamp, value):
-        self.view.put(key, stamp, msgspec.json.encode(value), 0)
+    def apply_own_commit(self, key, version, value):
+        self.replica.put(key, version, msgspec.json.encode(value), 0)
 
     def fence(self):
-        return WriteFence(self, self.view, "leader", self.view.version_of("leader"), self.applied, self.fresh)
+        return WriteFence(
+            self,
+            self.replica,
+            "leader",
+            self.replica.version_of("leader"),
+            self.apply_own_commit,
+            self.read_barrier,
+        )
 
 
-def close(fence, holds=lambda: True):
-    async def now(_):
+def invalidate_pending_writes(fence, is_held=lambda: True):
+    async def return_at_once(_):
         return None
 
-    with mock.patch("pearstep.controller.write_fence.asyncio", SimpleNamespace(sleep=now)):
-        return asyncio.run(fence.invalidate_pending_writes(holds))
+    with mock.patch("pearstep.controller.write_fence.asyncio", SimpleNamespace(sleep=return_at_once)):
+        return asyncio.run(fence.invalidate_pending_writes(is_held))
 
 
 @given(st.lists(st.sampled_from(["now", "unsaid", "later", "refused"]), max_size=6), st.booleans())
-def test_nothing_sent_before_a_closed_fence_is_carried_out_after_it(ends, lands):
-    s = Service()
-    fence = s.fence()
+def test_no_transaction_from_before_a_fence_write_is_executed_after_it(outcomes, is_executed):
+    service = FakeStateService()
+    fence = service.fence()
     route = RouteRecord("0-1")
-    s.ends = ["later", *ends]
-    outcome = asyncio.run(s.commit({**fence.preconditions(), "r/1/req-1": 0}, {"r/1/req-1": (route, None)}))
+    service.outcomes = ["later", *outcomes]
+    outcome = asyncio.run(
+        service.commit({**fence.preconditions(), "r/1/req-1": 0}, {"r/1/req-1": (route, None)})
+    )
     assert outcome.state == CommitOutcome.UNKNOWN
-    if lands:
-        s.ledger.txn(*s.pending.pop())
-    assert close(fence)
-    # It stands and is known, or it never will.
-    assert (s.view.version_of("r/1/req-1") > 0) == lands
-    before = s.ledger.keys.copy()
-    for work in s.pending:
-        assert isinstance(s.ledger.txn(*work), list)
-    assert s.ledger.keys == before
-    # What is written next finds its conditions.
-    s.ends = []
+    if is_executed:
+        service.ledger.txn(*service.pending.pop())
+    assert invalidate_pending_writes(fence)
+    # The transaction was executed and the replica shows it, or it can no longer be executed.
+    assert (service.replica.version_of("r/1/req-1") > 0) == is_executed
+    keys_before = service.ledger.keys.copy()
+    for transaction in service.pending:
+        assert isinstance(service.ledger.txn(*transaction), list)
+    assert service.ledger.keys == keys_before
+    # The conditions of the next transaction hold.
+    service.outcomes = []
     assert (
-        asyncio.run(s.commit(fence.preconditions(), {"r/2/req-1": (route, None)})).state
+        asyncio.run(service.commit(fence.preconditions(), {"r/2/req-1": (route, None)})).state
         == CommitOutcome.COMMITTED
     )
 
 
-def test_fence_without_an_answer_is_found_and_not_written_twice():
-    s = Service()
-    s.ends = ["unsaid"]
-    assert close(s.fence()) and s.asked == 1
-    s.ends = ["refused", "later", "now"]
-    assert close(s.fence()) and s.asked == 4
+def test_fence_write_is_repeated_only_if_it_was_not_executed():
+    service = FakeStateService()
+    service.outcomes = ["unsaid"]
+    assert invalidate_pending_writes(service.fence()) and service.commit_count == 1
+    service.outcomes = ["refused", "later", "now"]
+    assert invalidate_pending_writes(service.fence()) and service.commit_count == 4
 
 
-def test_holder_that_was_replaced_stops_waiting():
-    s = Service()
-    fence = s.fence()
-    s.ledger.txn({}, {"leader": LeaseHolderRecord("n1")})
-    holds = lambda: s.view.version_of("leader") == fence._claim["leader"]  # noqa: E731
-    assert not close(fence, holds) and fence.key not in s.ledger.keys
+def test_replaced_holder_stops_waiting_and_writes_no_fence():
+    service = FakeStateService()
+    fence = service.fence()
+    service.ledger.txn({}, {"leader": LeaseHolderRecord("n1")})
+    is_held = lambda: service.replica.version_of("leader") == fence._claim["leader"]  # noqa: E731
+    assert not invalidate_pending_writes(fence, is_held) and fence.key not in service.ledger.keys
 
 
-def late(seed):
+def setup_with_late_writes(seed):
     return Setup(
         seed,
         3,
@@ -122,17 +133,17 @@
     )
 
 
-async def read_only(self, holds):
-    """What was done before: the replica is read anew, and that is all."""
-    while holds() and not await self._read_barrier():
+async def read_without_fence_write(self, is_held):
+    """Bring the replica up to date without a fence write, as before fences existed."""
+    while is_held() and not await self._read_barrier():
         await asyncio.sleep(0.2)
-    return holds()
+    return is_held()
 
 
-def test_transactions_carried_out_after_newer_ones_start_nothing_twice():
-    with mock.patch.object(WriteFence, "invalidate_pending_writes", read_only):
-        unfenced = [run(late(seed))[0] for seed in (10, 15)]
-    assert any("ran_twice" in text for r in unfenced for text in r.broken)
+def test_transactions_executed_after_newer_ones_start_no_task_twice():
+    with mock.patch.object(WriteFence, "invalidate_pending_writes", read_without_fence_write):
+        unfenced = [run(setup_with_late_writes(seed))[0] for seed in (10, 15)]
+    assert any("ran_twice" in text for result in unfenced for text in result.broken)
     for seed in (10, 15):
-        result, _ = run(late(seed))
+        result, _ = run(setup_with_late_writes(seed))
         assert result.carried > 10 and result.broken == []
