--- a/measurements/history.py
+++ b/measurements/history.py
@@ -20,10 +20,10 @@
 import msgspec
 
 from measurements.harness import say
-from pearstep.history.blocks import Final, number_of, unpack
-from pearstep.history.compaction import IDLE, Compaction, Settled
-from pearstep.history.lookup import Absent, History, Read
-from pearstep.history.tree import BUCKETS, Root, bucket_of, due, root_key
+from pearstep.history.blocks import HistoryEntry, parse_job_number, unpack
+from pearstep.history.compaction import IDLE, CompactableJob, Compaction
+from pearstep.history.lookup import Absent, History, NeedsBlock
+from pearstep.history.tree import BUCKETS, Root, bucket_of, root_key, runs_to_merge
 
 MOST_BYTES, MOST_OPS, BATCH, PAGE = 16_300, 12, 1000, 1000
 BOUNDS = {"state_bytes_a_job": 9.5, "memory_bytes_a_job": 2.0, "changes_a_job": 0.1, "reads_a_known": 1.2}
@@ -57,19 +57,19 @@
                     self.blocks[key] = value
             for key in step.deletes:
                 self.blocks.pop(key, None)
-            one.ended(True)
+            one.record_outcome(True)
 
-    def take(self, one: Compaction, jobs: list[Settled]) -> None:
+    def take(self, one: Compaction, jobs: list[CompactableJob]) -> None:
         """Take jobs into a bucket, and make larger runs where they are due."""
         bucket = one.bucket
-        if one.begin(jobs):
+        if one.begin_write(jobs):
             self.run(one, bucket)
-        while old := due(self.roots[bucket]):
-            read = {r.name: self.contents(bucket, r.name, len(r.firsts)) for r in old}
+        while old := runs_to_merge(self.roots[bucket]):
+            read = {r.name: self.contents(bucket, r.name, len(r.first_numbers)) for r in old}
             one.begin_merge(self.roots[bucket], read)
             self.run(one, bucket)
 
-    def contents(self, bucket: int, run: str, count: int) -> list[Final]:
+    def contents(self, bucket: int, run: str, count: int) -> list[HistoryEntry]:
         """All entries of a run."""
         out = []
         for i in range(count):
@@ -81,19 +81,19 @@
     """One size."""
     rng = random.Random(seed)
     begun = time.process_time()
-    waiting: dict[int, list[Settled]] = {bucket: [] for bucket in range(BUCKETS)}
-    sample: list[Final] = []
+    waiting: dict[int, list[CompactableJob]] = {bucket: [] for bucket in range(BUCKETS)}
+    sample: list[HistoryEntry] = []
     built = Built()
     compactions = {bucket: Compaction(bucket, 7, MOST_OPS, MOST_BYTES) for bucket in range(BUCKETS)}
     for i in range(jobs):
         ref = f"req-{rng.randrange(10**17, 10**18)}"
-        number = number_of(ref)
+        number = parse_job_number(ref)
         assert number is not None
-        one = Final(number, rng.random() < 0.05, rng.choice([1, 1, 1, 3, 16, 70]))
+        one = HistoryEntry(number, rng.random() < 0.05, rng.choice([1, 1, 1, 3, 16, 70]))
         if i % max(jobs // 1000, 1) == 0:
             sample.append(one)
         bucket = bucket_of(number)
-        waiting[bucket].append(Settled(one, ((f"j/{ref}", 1),)))
+        waiting[bucket].append(CompactableJob(one, ((f"j/{ref}", 1),)))
         if len(waiting[bucket]) == BATCH:
             built.take(compactions[bucket], waiting[bucket])
             waiting[bucket] = []
@@ -110,7 +110,7 @@
                 node.put_root(bucket, 3, root)
         for bucket, root in built.roots.items():
             for run in root.runs:
-                node.fill(bucket, run.name, built.contents(bucket, run.name, len(run.firsts)))
+                node.build_filter(bucket, run.name, built.contents(bucket, run.name, len(run.first_numbers)))
         return node
 
     begun = time.process_time()
@@ -124,11 +124,11 @@
 
     wrong = []
     reads = {"known": 0, "unknown": 0}
-    unknown = [number_of(f"req-{rng.randrange(10**17, 10**18)}") for _ in sample]
+    unknown = [parse_job_number(f"req-{rng.randrange(10**17, 10**18)}") for _ in sample]
     for kind, numbers in (("known", [e.number for e in sample]), ("unknown", unknown)):
         for expected, number in zip(sample, numbers, strict=True):
             assert number is not None
-            while isinstance(found := node.ask(number), Read):
+            while isinstance(found := node.look_up(number), NeedsBlock):
                 node.put_block(found.key, built.blocks[found.key])
                 reads[kind] += 1
             right = found == expected if kind == "known" else isinstance(found, Absent)
--- a/measurements/history_service.py
+++ b/measurements/history_service.py
@@ -34,8 +34,8 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.domain.job_state import JobState
 from pearstep.domain.units import SECOND_US
-from pearstep.history.blocks import Final, number_of
-from pearstep.history.compaction import Compaction, Settled
+from pearstep.history.blocks import HistoryEntry, parse_job_number
+from pearstep.history.compaction import CompactableJob, Compaction
 from pearstep.history.tree import BUCKETS, bucket_of, root_key
 from pearstep.history.verification import verify
 from pearstep.local.layout import Cluster, make, write_settings
@@ -188,13 +188,13 @@
     """Finished jobs as the compaction leaves them."""
     built = Built()
     compactions = {b: Compaction(b, 7, MOST_OPS, MOST_BYTES) for b in range(BUCKETS)}
-    waiting: dict[int, list[Settled]] = {b: [] for b in range(BUCKETS)}
+    waiting: dict[int, list[CompactableJob]] = {b: [] for b in range(BUCKETS)}
 
     for ref in refs:
-        number = number_of(ref)
+        number = parse_job_number(ref)
         assert number is not None
         bucket = bucket_of(number)
-        waiting[bucket].append(Settled(Final(number, False, 1), ((f"j/{ref}", 1),)))
+        waiting[bucket].append(CompactableJob(HistoryEntry(number, False, 1), ((f"j/{ref}", 1),)))
         if len(waiting[bucket]) == BATCH:
             built.take(compactions[bucket], waiting[bucket])
             waiting[bucket] = []
--- a/measurements/history_states.py
+++ b/measurements/history_states.py
@@ -20,14 +20,16 @@
 
 from measurements.harness import say
 from pearstep.history import tree
-from pearstep.history.blocks import Final, number_of, unpack
-from pearstep.history.compaction import COMPACTOR, IDLE, Compaction, Settled, Step
-from pearstep.history.tree import Root, bucket_of, due, root_key
+from pearstep.history.blocks import HistoryEntry, parse_job_number, unpack
+from pearstep.history.compaction import COMPACTOR, IDLE, CompactableJob, Compaction, Step
+from pearstep.history.tree import Root, bucket_of, root_key, runs_to_merge
 from pearstep.state.records import HISTORY_BLOCK_PREFIX
 
 BUCKET = 5
 ROOT = root_key(BUCKET)
-NUMBERS = [n for n in (number_of(f"req-{i}") for i in range(500)) if n is not None and bucket_of(n) == BUCKET]
+NUMBERS = [
+    n for n in (parse_job_number(f"req-{i}") for i in range(500)) if n is not None and bucket_of(n) == BUCKET
+]
 QUEUED, DONE = "queued", "done"
 # Runs that one compactor begins: it could go on for ever where its answers are lost.
 MOST_BEGUN = 3
@@ -78,20 +80,20 @@
     return (
         one.state,
         one.fencing_token,
-        one.count,
+        one.run_count,
         tuple(one._blocks),
         one._run,
-        one._old,
-        tuple(one._clear),
-        tuple(one._sweep),
-        one._sent,
+        one._replaced_runs,
+        tuple(one._jobs_to_clear),
+        tuple(one._keys_to_sweep),
+        one._sent_count,
     )
 
 
 def _thaw(kept: tuple[Any, ...]) -> Compaction:
     one = Compaction(BUCKET, kept[1], 2, 40)
-    one.state, _, one.count, blocks, one._run, one._old, clear, sweep, one._sent = kept
-    one._blocks, one._clear, one._sweep = list(blocks), list(clear), list(sweep)
+    one.state, _, one.run_count, blocks, one._run, one._replaced_runs, clear, sweep, one._sent_count = kept
+    one._blocks, one._jobs_to_clear, one._keys_to_sweep = list(blocks), list(clear), list(sweep)
     return one
 
 
@@ -114,11 +116,11 @@
     return world._replace(keys=tuple(sorted(keys.items(), key=lambda row: row[0])), accepted=accepted)
 
 
-def entries(keys: dict[str, tuple[int, Any]]) -> list[Final]:
+def entries(keys: dict[str, tuple[int, Any]]) -> list[HistoryEntry]:
     """All that the present root names. Raises Wrong if a block is not there."""
-    out: list[Final] = []
+    out: list[HistoryEntry] = []
     for run in keys.get(ROOT, (0, Root()))[1].runs:
-        for i in range(len(run.firsts)):
+        for i in range(len(run.first_numbers)):
             key = tree.block_key(BUCKET, run.name, i)
             if key not in keys:
                 raise Wrong(f"{key} is named and is not there")
@@ -196,22 +198,24 @@
     root = keys.get(ROOT, (0, Root()))[1]
     found = {e.number for e in entries(keys)}
     jobs = [
-        Settled(Final(int(key[2:]), False, 1), ((key, version),))
+        CompactableJob(HistoryEntry(int(key[2:]), False, 1), ((key, version),))
         for key, (version, value) in keys.items()
         if key.startswith("j/") and value == DONE
     ]
     contents = {
         run.name: [
-            e for i in range(len(run.firsts)) for e in unpack(keys[tree.block_key(BUCKET, run.name, i)][1])
+            e
+            for i in range(len(run.first_numbers))
+            for e in unpack(keys[tree.block_key(BUCKET, run.name, i)][1])
         ]
-        for run in due(root)
+        for run in runs_to_merge(root)
     }
-    if one.clear([j for j in jobs if j.final.number in found]):
+    if one.begin_clear([j for j in jobs if j.final.number in found]):
         return
-    if one.begin([j for j in jobs if j.final.number not in found][:1]):
+    if one.begin_write([j for j in jobs if j.final.number not in found][:1]):
         return
     if not one.begin_merge(root, contents):
-        one.sweep(root, [key for key in keys if key.startswith(HISTORY_BLOCK_PREFIX)])
+        one.begin_sweep(root, [key for key in keys if key.startswith(HISTORY_BLOCK_PREFIX)])
 
 
 def _compacts(world: World, which: int, bounds: Bounds) -> Iterator[World]:
@@ -219,7 +223,7 @@
     if kept is None:
         return
     one = _thaw(kept)
-    if one.count > MOST_BEGUN:
+    if one.run_count > MOST_BEGUN:
         return
     if one.state == IDLE:
         _begin(one, world)
@@ -238,7 +242,7 @@
             yield anew if anew is not None else _with(after, which, None)
             continue
         same = _thaw(begun)
-        same.ended(bool(known), known is not None)
+        same.record_outcome(bool(known), known is not None)
         # One that learns that the key is another's stops.
         stays = known or after.token == one.fencing_token
         yield _with(after, which, _freeze(same) if stays else None)
--- a/pearstep/history/compactor.py
+++ b/pearstep/history/compactor.py
@@ -1,11 +1,11 @@
 """Decides what a compactor does next, bucket by bucket.
 
-There is no input or output here: it returns transactions, or what must be read before the next one can be
-decided, and is told how each ended.
+This module performs no I/O: the planner returns the next transaction, or what must be read before it can be
+chosen, and the caller reports the outcome.
 
-Its work belongs to one fencing token, a version of the key ``compactor``. When the outcome of a transaction
-is unknown, the extension takes a new fencing token first, so that a transaction that is still under way can't
-be applied, and begins again from the records.
+A planner is bound to one fencing token, a version of the key ``compactor``. When the outcome of a transaction
+is unknown, the extension first takes a new fencing token, so that a transaction that is still in flight can't
+be applied, and then starts again from the records.
 """
 
 from __future__ import annotations
@@ -14,93 +14,97 @@
 
 import msgspec
 
-from pearstep.history.blocks import Final
-from pearstep.history.compaction import IDLE, Compaction, Settled, Step
-from pearstep.history.eligibility import all_settled, drop
-from pearstep.history.lookup import History, Read
-from pearstep.history.tree import BUCKETS, Root, bucket_of, due, root_key
+from pearstep.history.blocks import HistoryEntry
+from pearstep.history.compaction import IDLE, CompactableJob, Compaction, Step
+from pearstep.history.eligibility import compactable_jobs, orphan_deletion_step
+from pearstep.history.lookup import History, NeedsBlock
+from pearstep.history.tree import BUCKETS, Root, bucket_of, root_key, runs_to_merge
 from pearstep.state.records import HISTORY_BLOCK_PREFIX
 from pearstep.state.replica import Replica
 
-# The interval between searches of all jobs, which cost some 0.3 us per job.
-LOOK_US = 2_000_000
-# The most jobs that are taken in together: a block of more than 16 KiB becomes two.
-MOST_AT_ONCE = 1500
+# A scan of all jobs costs about 0.3 us per job.
+JOB_SCAN_INTERVAL_US = 2_000_000
+# More jobs make a block larger than 16 KiB, which is then split into two.
+MAX_JOBS_PER_RUN = 1500
 
 
 class Limits(msgspec.Struct, frozen=True):
     """The limits of compaction.
 
-    ``rest_us``: how long a finished job keeps its records at least; ``keep``: how many finished jobs keep
-    their records; ``batch``: how many more there must be before compaction begins; ``most_ops``: changes in a
-    transaction, unless a single job has more records, up to ``most_records``; ``most_bytes``: the size of a
-    value.
+    Attributes:
+        min_age_us: The minimum time for which a finished job keeps its records.
+        keep: The number of finished jobs that keep their records.
+        batch: The number of further finished jobs at which compaction begins.
+        max_ops: The largest number of changes in a transaction; a single job may have more records.
+        max_records: The largest number of records of a job that is compacted.
+        max_value_bytes: The largest size of a value.
     """
 
-    rest_us: int
+    min_age_us: int
     keep: int
     batch: int
-    most_ops: int
-    most_records: int
-    most_bytes: int
+    max_ops: int
+    max_records: int
+    max_value_bytes: int
 
 
 class ReadBlock(msgspec.Struct, frozen=True):
-    """This block must be read first."""
+    """A block that must be read before the next step."""
 
     key: str
 
 
 class ReadRun(msgspec.Struct, frozen=True):
-    """The entries of this run must be read first and handed to ``Works.entries``."""
+    """A run whose entries must be read and passed to ``CompactionPlanner.put_run_entries``."""
 
     bucket: int
     run: str
 
 
-Next = Step | ReadBlock | ReadRun | None
+Action = Step | ReadBlock | ReadRun | None
 
 
-def due_jobs(replica: Replica, limits: Limits, wall_us: int) -> list[Settled]:
-    """Return the oldest finished jobs beyond those that keep their records; none before they are a batch."""
+def due_jobs(replica: Replica, limits: Limits, wall_us: int) -> list[CompactableJob]:
+    """Return the oldest finished jobs beyond the number to keep, or none if they are less than a batch."""
     if len(replica.jobs) - len(replica.open_jobs) - limits.keep < limits.batch:
         return []
-    jobs = all_settled(replica, wall_us, limits.rest_us, limits.most_records)
+    jobs = compactable_jobs(replica, wall_us, limits.min_age_us, limits.max_records)
     surplus = len(jobs) - limits.keep
     return jobs[:surplus] if surplus >= limits.batch else []
 
 
-class Works:
-    """The work under one fencing token. The replica must have the keys of all blocks."""
+class CompactionPlanner:
+    """Plans the steps under one fencing token; the replica must have the keys of all blocks."""
 
     def __init__(self, fencing_token: int, replica: Replica, history: History, limits: Limits) -> None:
-        """Begin in no bucket, with all buckets to be swept."""
+        """Create a planner without a current bucket; all buckets are to be swept."""
         self.fencing_token = fencing_token
         self.replica = replica
         self.history = history
         self.limits = limits
-        self.moved = 0
+        self.moved_count = 0
         self._buckets = [
-            Compaction(bucket, fencing_token, limits.most_ops, limits.most_bytes) for bucket in range(BUCKETS)
+            Compaction(bucket, fencing_token, limits.max_ops, limits.max_value_bytes)
+            for bucket in range(BUCKETS)
         ]
         self._current: Compaction | None = None
-        self._waiting: list[Settled] = []
-        self._looked_us = -LOOK_US
+        self._waiting_jobs: list[CompactableJob] = []
+        self._last_scan_us = -JOB_SCAN_INTERVAL_US
         self._unswept = set(range(BUCKETS))
-        self._contents: dict[str, Sequence[Final]] = {}
-        self._dropping = False
-        # Where ids were looked for already; roots change by our own steps alone.
-        self._passed: dict[int, set[str]] = {}
+        self._run_entries: dict[str, Sequence[HistoryEntry]] = {}
+        self._deleting_orphans = False
+        # Blocks already searched, by job number; roots change only by this planner's own steps.
+        self._searched_blocks: dict[int, set[str]] = {}
 
-    def next(self, now_us: int, wall_us: int, orphaned: Sequence[str] = ()) -> Next:
-        """Return the next thing to do; None if there is nothing now.
+    def next_action(self, now_us: int, wall_us: int, orphaned: Sequence[str] = ()) -> Action:
+        """Return the next action; None if there is nothing to do now.
 
         Args:
             now_us: The monotonic time.
             wall_us: The wall time.
             orphaned: The keys of records whose jobs have no record.
         """
-        self._dropping = False
+        self._deleting_orphans = False
         task = self._continue() or self._next_merge() or self._next_jobs(now_us, wall_us)
         if task is not None:
             return task
@@ -109,16 +113,16 @@
             if step is not None:
                 return step
         if orphaned:
-            self._dropping = True
-            return drop(self.replica, self.fencing_token, orphaned, self.limits.most_ops)
+            self._deleting_orphans = True
+            return orphan_deletion_step(self.replica, self.fencing_token, orphaned, self.limits.max_ops)
         return None
 
     def _continue(self) -> Step | None:
-        """Return the next step of the bucket where work has begun."""
+        """Return the next step of the current bucket, if any."""
         return self._step(self._current) if self._current is not None else None
 
     def _next_merge(self) -> Step | ReadRun | None:
-        """Return what the first bucket with a merge that is due asks for."""
+        """Return the next action of the first bucket that has runs to merge."""
         for bucket, root in sorted(self.history.roots.items()):
             merge = self._merge(bucket, root)
             if merge is not None:
@@ -126,17 +130,17 @@
         return None
 
     def _next_jobs(self, now_us: int, wall_us: int) -> Step | ReadBlock | None:
-        """Return what taking in finished jobs asks for."""
-        if not self._waiting and now_us - self._looked_us >= LOOK_US:
-            self._looked_us = now_us
-            self._waiting = due_jobs(self.replica, self.limits, wall_us)
-        if not self._waiting:
+        """Return the next action that moves finished jobs into blocks."""
+        if not self._waiting_jobs and now_us - self._last_scan_us >= JOB_SCAN_INTERVAL_US:
+            self._last_scan_us = now_us
+            self._waiting_jobs = due_jobs(self.replica, self.limits, wall_us)
+        if not self._waiting_jobs:
             return None
-        work = self._take_in()
+        work = self._begin_next_bucket()
         return self._step(work) if isinstance(work, Compaction) else work
 
     def _step(self, compaction: Compaction) -> Step | None:
-        """Return the next step of a bucket, in which work goes on until it is done."""
+        """Make this the current bucket and return its next step; None if its work has ended."""
         bucket = compaction.bucket
         self._current = compaction
         root = self.history.roots.get(bucket, Root())
@@ -147,64 +151,70 @@
         return step
 
     def _merge(self, bucket: int, root: Root) -> Compaction | ReadRun | None:
-        """Begin the merge that is due in a bucket, or ask for a run that it needs; None if none is due."""
-        old = due(root)
-        for run in old:
-            if run.name not in self._contents:
+        """Start the merge that is due in a bucket, or request a run for it; None if no merge is due."""
+        replaced_runs = runs_to_merge(root)
+        for run in replaced_runs:
+            if run.name not in self._run_entries:
                 return ReadRun(bucket, run.name)
-        if not old:
+        if not replaced_runs:
             return None
-        contents = {run.name: self._contents.pop(run.name) for run in old}
-        self._contents.clear()
-        one = self._buckets[bucket]
-        return one if one.begin_merge(root, contents) else None
+        contents = {run.name: self._run_entries.pop(run.name) for run in replaced_runs}
+        self._run_entries.clear()
+        compaction = self._buckets[bucket]
+        return compaction if compaction.begin_merge(root, contents) else None
 
-    def entries(self, run: str, found: Sequence[Final]) -> None:
-        """Take in the entries of a run that was asked for."""
-        self._contents[run] = found
+    def put_run_entries(self, run: str, found: Sequence[HistoryEntry]) -> None:
+        """Store the entries of a run that was requested with ``ReadRun``."""
+        self._run_entries[run] = found
 
-    def _take_in(self) -> Compaction | ReadBlock | None:
-        """Begin work on the bucket with the most waiting jobs.
+    def _begin_next_bucket(self) -> Compaction | ReadBlock | None:
+        """Start work on the bucket with the most waiting jobs.
 
-        The records of jobs that its root has already are cleared, since a former compactor left them over. No
-        job is taken in twice.
+        Records of jobs that its root already contains were left by a former compactor: they are deleted, and
+        no job is added twice.
         """
-        by_bucket: dict[int, list[Settled]] = {}
-        for job in self._waiting:
+        by_bucket: dict[int, list[CompactableJob]] = {}
+        for job in self._waiting_jobs:
             by_bucket.setdefault(bucket_of(job.final.number), []).append(job)
         bucket, jobs = max(by_bucket.items(), key=lambda item: len(item[1]))
-        jobs = jobs[:MOST_AT_ONCE]
-        new: list[Settled] = []
-        already_in: list[Settled] = []
+        jobs = jobs[:MAX_JOBS_PER_RUN]
+        new: list[CompactableJob] = []
+        already_in: list[CompactableJob] = []
         for job in jobs:
-            found = self.history.ask(job.final.number, self._passed.setdefault(job.final.number, set()))
-            if isinstance(found, Read):
+            found = self.history.look_up(
+                job.final.number, self._searched_blocks.setdefault(job.final.number, set())
+            )
+            if isinstance(found, NeedsBlock):
                 return ReadBlock(found.key)
-            (already_in if isinstance(found, Final) else new).append(job)
+            (already_in if isinstance(found, HistoryEntry) else new).append(job)
         taken = {job.final.number for job in (already_in or new)}
-        self._passed.clear()
-        self._waiting = [job for job in self._waiting if job.final.number not in taken]
+        self._searched_blocks.clear()
+        self._waiting_jobs = [job for job in self._waiting_jobs if job.final.number not in taken]
         compaction = self._buckets[bucket]
-        self.moved += len(taken)
-        return compaction if (compaction.clear(already_in) or compaction.begin(new)) else None
+        self.moved_count += len(taken)
+        return compaction if (compaction.begin_clear(already_in) or compaction.begin_write(new)) else None
 
     def _sweep(self) -> Step | None:
-        """Sweep one bucket; None if it has no block to be swept."""
+        """Start sweeping one bucket; None if all of its blocks are referenced."""
         bucket = self._unswept.pop()
         prefix = f"{HISTORY_BLOCK_PREFIX}{bucket}/"
         keys = [key for key in self.replica.versions if key.startswith(prefix)]
-        one = self._buckets[bucket]
-        return self._step(one) if one.sweep(self.history.roots.get(bucket, Root()), keys) else None
-
-    def ended(self, committed: bool) -> None:
-        """Take in how the last step ended; the caller knows it for certain."""
-        if self._dropping:
+        compaction = self._buckets[bucket]
+        return (
+            self._step(compaction)
+            if compaction.begin_sweep(self.history.roots.get(bucket, Root()), keys)
+            else None
+        )
+
+    def record_outcome(self, committed: bool) -> None:
+        """Update the state with the outcome of the last step, which must be certain."""
+        if self._deleting_orphans:
             return
-        one = self._current
-        assert one is not None
-        one.ended(committed)
+        compaction = self._current
+        assert compaction is not None
+        compaction.record_outcome(committed)
         if not committed:
-            self._unswept.add(one.bucket)
-            self._waiting = []
-        if one.state == IDLE:
+            self._unswept.add(compaction.bucket)
+            self._waiting_jobs = []
+        if compaction.state == IDLE:
             self._current = None
--- a/pearstep/history/extension.py
+++ b/pearstep/history/extension.py
@@ -21,8 +21,8 @@
 from pearstep.domain.state_machine import TransitionTable
 from pearstep.domain.units import SECOND_US
 from pearstep.history.compaction import COMPACTOR, Step
-from pearstep.history.compactor import Limits, ReadBlock, ReadRun, Works, due_jobs
-from pearstep.history.eligibility import left_behind
+from pearstep.history.compactor import CompactionPlanner, Limits, ReadBlock, ReadRun, due_jobs
+from pearstep.history.eligibility import find_orphaned_records
 from pearstep.history.host import HistoryHost
 from pearstep.history.reader import Reader
 from pearstep.history.settings import HistorySettings
@@ -94,7 +94,7 @@
         """Prepare an extension that is attached to its host later."""
         self.settings = settings
         self.state = NONE
-        self.works: Works | None = None
+        self.planner: CompactionPlanner | None = None
         # Set once the state service refuses even the smallest step: this process compacts no more.
         self.stopped = False
         self._process = random.getrandbits(PROCESS_BITS)
@@ -119,12 +119,12 @@
         state = controller.settings.params.state
         burst = max(state.write_rps / controller.settings.shard_count, 1.0)
         self.limits = Limits(
-            rest_us=int(settings.rest_s * SECOND_US),
+            min_age_us=int(settings.rest_s * SECOND_US),
             keep=settings.keep,
             batch=settings.batch,
-            most_ops=max(min(controller.settings.txn_ops, int(burst / 2)), 1),
-            most_records=state.txn_ops,
-            most_bytes=int(state.value_kb * BYTES_PER_KB * FILL),
+            max_ops=max(min(controller.settings.txn_ops, int(burst / 2)), 1),
+            max_records=state.txn_ops,
+            max_value_bytes=int(state.value_kb * BYTES_PER_KB * FILL),
         )
         # Changes per second that compaction may take when the write budget has none to spare.
         self._changes_per_second = burst * settings.share
@@ -173,10 +173,10 @@
             and not self.stopped
         )
 
-    def _enter(self, state: str, works: Works | None = None) -> None:
+    def _enter(self, state: str, planner: CompactionPlanner | None = None) -> None:
         """Change the state; ``works`` is the work that it has."""
         KEEPER.transition(self, state)
-        self.works = works
+        self.planner = planner
 
     def _held_token(self) -> int:
         """Return the fencing token of the compactor's key if this process holds it, else 0."""
@@ -198,11 +198,11 @@
             return
         if self.state == NONE:
             await self._claim_if_due()
-        elif self.works is None or self._held_token() != self.works.fencing_token:
+        elif self.planner is None or self._held_token() != self.planner.fencing_token:
             log.info("history compaction lost")
             self._enter(NONE)
         else:
-            await self._work(self.works)
+            await self._work(self.planner)
 
     async def _claim_if_due(self) -> None:
         """Take the compactor's key if there is work to do and nobody does it."""
@@ -234,8 +234,8 @@
 
     def _begin_works(self, fencing_token: int) -> None:
         """Begin to work under a fencing token, from the records alone."""
-        works = Works(fencing_token, self.node.replica, self.reader.history, self.limits)
-        self._enter(WORKING, works)
+        planner = CompactionPlanner(fencing_token, self.node.replica, self.reader.history, self.limits)
+        self._enter(WORKING, planner)
 
     def due(self) -> bool:
         """Tell whether there is something to compact, delete or sweep."""
@@ -244,7 +244,9 @@
 
     def _orphaned_records(self) -> list[str]:
         """Return the keys of records that have had no job for a while."""
-        return left_behind(self.node.replica, self._orphaned_since_us, now_us(), self.limits.rest_us)
+        return find_orphaned_records(
+            self.node.replica, self._orphaned_since_us, now_us(), self.limits.min_age_us
+        )
 
     async def _claim(self, before: int) -> int:
         """Write the compactor's key under the condition of its version.
@@ -275,10 +277,10 @@
                 return True
         return False
 
-    async def _fence(self, works: Works) -> None:
+    async def _fence(self, planner: CompactionPlanner) -> None:
         """Take a new fencing token, so that a transaction that is still under way can't be applied."""
         self._enter(FENCING)
-        fencing_token = await self._claim(works.fencing_token)
+        fencing_token = await self._claim(planner.fencing_token)
         if not fencing_token:
             self._enter(NONE)
             return
@@ -287,21 +289,21 @@
 
     # -- the work --------------------------------------------------------------------------------
 
-    async def _work(self, works: Works) -> None:
+    async def _work(self, planner: CompactionPlanner) -> None:
         """Do the next thing that the work asks for."""
-        task = works.next(now_us(), wall_us(), self._orphaned_records())
+        task = planner.next_action(now_us(), wall_us(), self._orphaned_records())
         if isinstance(task, ReadBlock):
             await self.reader.block(task.key, IDLE)
         elif isinstance(task, ReadRun):
             entries = await self.reader.run(task.bucket, task.run)
             if entries is not None:
-                works.entries(task.run, entries)
+                planner.put_run_entries(task.run, entries)
         elif task is None:
-            await self._release_if_idle(works)
+            await self._release_if_idle(planner)
         else:
             self._idle_us = now_us()
             if self._may_spend(len(task.puts) + len(task.deletes)):
-                await self._write(works, task)
+                await self._write(planner, task)
 
     def _may_spend(self, changes: int) -> bool:
         """Tell whether changes may be written now, from the spare write budget or by compaction's share."""
@@ -311,7 +313,7 @@
         self._next_us = now + int(changes / self._changes_per_second * SECOND_US)
         return True
 
-    async def _write(self, works: Works, step: Step) -> None:
+    async def _write(self, planner: CompactionPlanner, step: Step) -> None:
         """Commit a step and tell the work how it ended."""
         puts: dict[str, Any] = {
             key: (value if isinstance(value, Root) else value.decode(), None)
@@ -323,34 +325,34 @@
         if outcome.state == CommitOutcome.MALFORMED:
             self._take_smaller_steps()
         if outcome.state not in (CommitOutcome.COMMITTED, CommitOutcome.CONFLICT):
-            await self._fence(works)
+            await self._fence(planner)
             return
         if not await self._wait_for(outcome.revision):
             # The next step is decided from the replica, which must have this one.
-            await self._fence(works)
+            await self._fence(planner)
             return
         if outcome.state == CommitOutcome.CONFLICT:
             log.info("history step conflicted", keys=outcome.failed[:MOST_KEYS_LOGGED])
-        works.ended(outcome.state == CommitOutcome.COMMITTED)
+        planner.record_outcome(outcome.state == CommitOutcome.COMMITTED)
 
     def _take_smaller_steps(self) -> None:
         """Halve the number of changes in a step, after the state service took one for malformed."""
-        most_ops, most_records = self.limits.most_ops, self.limits.most_records
-        if most_ops == most_records == 1:
+        max_ops, max_records = self.limits.max_ops, self.limits.max_records
+        if max_ops == max_records == 1:
             log.error("history compaction stopped", reason="a single change was malformed")
             self.stopped = True
             return
         self.limits = msgspec.structs.replace(
-            self.limits, most_ops=max(most_ops // 2, 1), most_records=max(most_records // 2, 1)
+            self.limits, max_ops=max(max_ops // 2, 1), max_records=max(max_records // 2, 1)
         )
-        log.error("history step malformed", most_changes=self.limits.most_ops)
+        log.error("history step malformed", most_changes=self.limits.max_ops)
 
-    async def _release_if_idle(self, works: Works) -> None:
+    async def _release_if_idle(self, planner: CompactionPlanner) -> None:
         """Release the compactor's key after a while without work."""
         if now_us() - self._idle_us < LOOK_US:
             return
-        log.info("history compaction finished", jobs=works.moved)
-        outcome = await self.node.kv.commit({COMPACTOR: works.fencing_token}, {}, [COMPACTOR], urgency=IDLE)
+        log.info("history compaction finished", jobs=planner.moved_count)
+        outcome = await self.node.kv.commit({COMPACTOR: planner.fencing_token}, {}, [COMPACTOR], urgency=IDLE)
         if outcome.state != CommitOutcome.REFUSED:
             self._next_look_us = now_us() + LOOK_US
             await self.node.follower.read_barrier()
--- a/pearstep/history/lookup.py
+++ b/pearstep/history/lookup.py
@@ -1,7 +1,7 @@
 """Looks up jobs that have left their records.
 
-A controller answers from a Bloom filter per run and a few cached blocks, never from the whole history. There
-is no input or output here: a lookup says which block must be read.
+A controller keeps a Bloom filter per run and a few cached blocks in memory, not the whole history. This
+module performs no I/O: a lookup returns the block that must be read.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 import msgspec
 from rbloom import Bloom
 
-from pearstep.history.blocks import Final, find, unpack
-from pearstep.history.tree import Root, block_key, bucket_of, root_key, where
+from pearstep.history.blocks import HistoryEntry, find_entry, unpack
+from pearstep.history.tree import Root, block_key, bucket_of, candidate_blocks, root_key
 
-# The share of unknown job ids that cost a needless read.
-FALSE_RATE = 0.01
-KEPT_BLOCKS = 64
+# The share of unknown job ids that cause an unnecessary read.
+FALSE_POSITIVE_RATE = 0.01
+DEFAULT_CACHED_BLOCKS = 64
 
 
 class Absent(msgspec.Struct, frozen=True):
@@ -27,20 +27,20 @@
     version: int
 
 
-class Read(msgspec.Struct, frozen=True):
-    """This block must be read before the question is asked again."""
+class NeedsBlock(msgspec.Struct, frozen=True):
+    """A block that must be read before the lookup is repeated."""
 
     key: str
 
 
-Answer = Final | Absent | Read
+LookupResult = HistoryEntry | Absent | NeedsBlock
 
 
-class _Filters:
+class _BucketIndex:
     """The root of one bucket and the filters of its runs by name."""
 
     def __init__(self) -> None:
-        """Begin with an empty root."""
+        """Create the index with an empty root."""
         self.root = Root()
         self.version = 0
         self.by_run: dict[str, Bloom] = {}
@@ -49,11 +49,11 @@
 class History:
     """The known roots, filters and cached blocks of all buckets."""
 
-    def __init__(self, kept: int = KEPT_BLOCKS) -> None:
-        """Begin without any root; at most ``kept`` blocks stay unpacked in memory."""
-        self._buckets: dict[int, _Filters] = {}
-        self._kept = kept
-        self._blocks: OrderedDict[str, list[Final]] = OrderedDict()
+    def __init__(self, max_cached_blocks: int = DEFAULT_CACHED_BLOCKS) -> None:
+        """Create an index without roots that caches at most ``max_cached_blocks`` unpacked blocks."""
+        self._buckets: dict[int, _BucketIndex] = {}
+        self._max_cached_blocks = max_cached_blocks
+        self._blocks: OrderedDict[str, list[HistoryEntry]] = OrderedDict()
 
     @property
     def roots(self) -> dict[int, Root]:
@@ -61,8 +61,8 @@
         return {bucket: filters.root for bucket, filters in self._buckets.items()}
 
     def put_root(self, bucket: int, version: int, root: Root) -> bool:
-        """Take in a root; False if a later version is known already."""
-        filters = self._buckets.setdefault(bucket, _Filters())
+        """Store a root; False if this or a later version is already stored."""
+        filters = self._buckets.setdefault(bucket, _BucketIndex())
         if version <= filters.version:
             return False
         filters.root, filters.version = root, version
@@ -71,18 +71,18 @@
             del filters.by_run[name]
         return True
 
-    def filled(self, bucket: int, run: str) -> bool:
-        """Tell whether a run has its filter; without it, its blocks are searched for each id."""
+    def has_filter(self, bucket: int, run: str) -> bool:
+        """Tell whether a run has a filter; without one, each lookup searches one of its blocks."""
         filters = self._buckets.get(bucket)
         return filters is not None and run in filters.by_run
 
-    def fill(self, bucket: int, run: str, entries: Iterable[Final]) -> None:
-        """Make the filter of a run from all of its entries."""
+    def build_filter(self, bucket: int, run: str, entries: Iterable[HistoryEntry]) -> None:
+        """Build the filter of a run from all of its entries."""
         filters = self._buckets[bucket]
         found = next((one for one in filters.root.runs if one.name == run), None)
         if found is None:
-            return  # merged meanwhile
-        bloom = Bloom(max(found.count, 1), FALSE_RATE)
+            return  # the run was merged into another one meanwhile
+        bloom = Bloom(max(found.count, 1), FALSE_POSITIVE_RATE)
         bloom.update(entry.number for entry in entries)
         filters.by_run[run] = bloom
 
@@ -94,39 +94,39 @@
         """
         self._blocks[key] = unpack(raw)
         self._blocks.move_to_end(key)
-        while len(self._blocks) > self._kept:
+        while len(self._blocks) > self._max_cached_blocks:
             self._blocks.popitem(last=False)
 
-    def ask(self, number: int, passed: set[str] | None = None) -> Answer:
+    def look_up(self, number: int, searched: set[str] | None = None) -> LookupResult:
         """Look up a job.
 
         Args:
             number: The number of the job.
-            passed: The keys of blocks that don't have the job, kept by the caller from one call to the next.
-                Blocks never change. Without this set a lookup that must search more blocks than are cached
-                would never end.
+            searched: The keys of blocks that don't have the job, kept by the caller between calls; blocks
+                never change. Without this set, a lookup that searches more blocks than are cached would not
+                end.
 
         Returns:
-            The job's entry, the fact that it is absent, or the block that must be read first.
+            The job's entry, its absence, or the block that must be read first.
         """
-        passed = set() if passed is None else passed
+        searched = set() if searched is None else searched
         bucket = bucket_of(number)
         filters = self._buckets.get(bucket)
         if filters is None:
             return Absent(root_key(bucket), 0)
-        for run, index in where(filters.root, number):
+        for run, index in candidate_blocks(filters.root, number):
             bloom = filters.by_run.get(run)
             key = block_key(bucket, run, index)
-            if key in passed or (bloom is not None and number not in bloom):
+            if key in searched or (bloom is not None and number not in bloom):
                 continue
             entries = self._blocks.get(key)
             if entries is None:
-                return Read(key)
+                return NeedsBlock(key)
             self._blocks.move_to_end(key)
-            found = find(entries, number)
+            found = find_entry(entries, number)
             if found is not None:
                 return found
-            passed.add(key)
+            searched.add(key)
         return Absent(root_key(bucket), filters.version)
 
     @property
--- a/pearstep/history/reader.py
+++ b/pearstep/history/reader.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from pearstep.controller.extension import FinishedJob
-from pearstep.history.blocks import BadBlockError, Final, number_of, unpack
+from pearstep.history.blocks import BadBlockError, HistoryEntry, parse_job_number, unpack
 from pearstep.history.compaction import COMPACTOR
-from pearstep.history.lookup import History, Read
+from pearstep.history.lookup import History, NeedsBlock
 from pearstep.history.tree import Root
 from pearstep.state.records import HISTORY_BLOCK_PREFIX, HISTORY_ROOT_PREFIX
 from pearstep.state.replica import Replica
@@ -124,7 +124,7 @@
             self._drop_block(bucket, name, index)
             return
         named = {run.name for run in self.roots.get(bucket, Root()).runs}
-        if name in named and self.history.filled(bucket, name):
+        if name in named and self.history.has_filter(bucket, name):
             return
         self._raw.setdefault((bucket, name), {})[index] = block
         if name in named:
@@ -143,7 +143,7 @@
         A compactor writes blocks before the root that names them; without a compactor, one was interrupted.
         """
         stored = sum(key.startswith(HISTORY_BLOCK_PREFIX) for key in self.replica.versions)
-        return stored > sum(len(run.firsts) for root in self.roots.values() for run in root.runs)
+        return stored > sum(len(run.first_numbers) for root in self.roots.values() for run in root.runs)
 
     def _put_compactor(self, rest: str, version: int, raw: bytes | None) -> None:
         """Take in the record of the compactor."""
@@ -153,11 +153,13 @@
         """Make the filter of a run once all of its blocks are known."""
         run = next(run for run in self.roots[bucket].runs if run.name == name)
         blocks = self._raw.get((bucket, name), {})
-        if len(blocks) < len(run.firsts) or self.history.filled(bucket, name):
+        if len(blocks) < len(run.first_numbers) or self.history.has_filter(bucket, name):
             return
         del self._raw[bucket, name]
         try:
-            self.history.fill(bucket, name, (entry for raw in blocks.values() for entry in unpack(raw)))
+            self.history.build_filter(
+                bucket, name, (entry for raw in blocks.values() for entry in unpack(raw))
+            )
         except BadBlockError as err:
             self._report_damage(f"{HISTORY_BLOCK_PREFIX}{bucket}/{name}", str(err))
 
@@ -252,11 +254,11 @@
         """Tell whether the root of a block's bucket names the block."""
         bucket, run, index = key[len(HISTORY_BLOCK_PREFIX) :].split("/")
         runs = self.roots.get(int(bucket), Root()).runs
-        return any(one.name == run and int(index) < len(one.firsts) for one in runs)
+        return any(one.name == run and int(index) < len(one.first_numbers) for one in runs)
 
-    async def run(self, bucket: int, name: str) -> list[Final] | None:
+    async def run(self, bucket: int, name: str) -> list[HistoryEntry] | None:
         """Read all entries of a run; None if they can't be read now."""
-        entries: list[Final] = []
+        entries: list[HistoryEntry] = []
         run = next((run for run in self.roots.get(bucket, Root()).runs if run.name == name), None)
         if run is None:
             return None
@@ -287,15 +289,15 @@
             The job's final state, or the conditions (versions by key) under which the job is new, or None if
             it can't be told now: the state service is away, or too many questions wait for a block.
         """
-        number = number_of(job_id)
+        number = parse_job_number(job_id)
         if number is None:
             return {}
-        passed: set[str] = set()
+        searched: set[str] = set()
         for _ in range(MOST_LOOKUPS):
-            found = self.history.ask(number, passed)
-            if isinstance(found, Final):
+            found = self.history.look_up(number, searched)
+            if isinstance(found, HistoryEntry):
                 return FinishedJob(job_id, found.state, found.done)
-            if not isinstance(found, Read):
+            if not isinstance(found, NeedsBlock):
                 return {found.key: found.version}
             if self._waiting >= self._most_waiting or self.kv.is_unavailable():
                 return None
--- a/pearstep/history/standalone.py
+++ b/pearstep/history/standalone.py
@@ -134,8 +134,8 @@
             return moved, f"{compacting.reader.damaged[0]} is damaged: see `pearstep state verify`"
         if compacting.stopped:
             return moved, "the state service takes no step of it: see the log"
-        if compacting.works is not None:
-            has_worked, moved = True, compacting.works.moved
+        if compacting.planner is not None:
+            has_worked, moved = True, compacting.planner.moved_count
         elif compacting.state == NONE and (has_worked or not compacting.due()):
             return moved, ""
         elif not has_worked and now_us() > claim_until_us:
--- a/pearstep/history/tree.py
+++ b/pearstep/history/tree.py
@@ -1,12 +1,12 @@
-"""The tree of blocks, a log-structured merge tree, without input or output.
+"""The tree of blocks: a log-structured merge tree; performs no I/O.
 
-Each bucket of ids has one root, replaced by compare-and-swap, that names runs of blocks. Newer runs are
-small; eight of a level are merged into one of the next.
+Each bucket of ids has one root, replaced by compare-and-swap, that references runs of blocks. New runs
+are small; eight runs of a level are merged into one run of the next level.
 
 The invariant: **a root never loses an id, and a job's own record is deleted only under the condition of a
-root that has the id.** So an id that was ever accepted is in its own record or in the present
-root, and an acceptance that is conditional on both (no record; the root in which it was looked for and not
-found) cannot accept it again, whatever its node knew.
+root that has the id.** So each accepted id is in its own record or in the current root. An
+acceptance that is conditional on both (no record, and the version of the root that was searched without
+finding the id) therefore can't accept the id again, however old the data of the controller.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 import msgspec
 import xxhash
 
-from pearstep.history.blocks import Final
+from pearstep.history.blocks import HistoryEntry
 from pearstep.state.records import HISTORY_BLOCK_PREFIX, HISTORY_ROOT_PREFIX
 
 BUCKETS = 16
 FANOUT = 8
-# The largest run, in entries: a run is made, and its filter filled, without yielding to the event loop. That
-# takes some 0.15 s, and a controller must not pause for longer.
-MOST_RUN = 40_000
+# A run and its filter are built without yielding to the event loop. At this size that takes about 0.15 s, and
+# a controller must not pause for longer.
+MAX_RUN_ENTRIES = 40_000
 
 
 class Run(msgspec.Struct, frozen=True, array_like=True):
     """A sorted sequence of blocks.
 
-    ``name`` is unique for ever: the compactor's fencing token and a count. ``firsts`` are the first numbers
-    of the blocks.
+    ``name`` is never reused: the compactor's fencing token and a counter. ``first_numbers`` are the first
+    numbers of the blocks.
     """
 
     name: str
     level: int
     count: int
-    firsts: tuple[int, ...]
+    first_numbers: tuple[int, ...]
 
 
 class Root(msgspec.Struct, frozen=True, array_like=True):
-    """The root of a bucket: its runs, the newest last, and how many ids it has ever taken in."""
+    """The root of a bucket: its runs, the newest last, and the number of ids ever added."""
 
     runs: tuple[Run, ...] = ()
     count: int = 0
 
 
 def bucket_of(number: int) -> int:
-    """Return the bucket of an id, by a hash, since ids may be consecutive."""
+    """Return the bucket of an id, from a hash because ids may be consecutive."""
     return xxhash.xxh3_64_intdigest(number.to_bytes(16, "big")) % BUCKETS
 
 
@@ -62,50 +62,51 @@
     return f"{HISTORY_BLOCK_PREFIX}{bucket}/{run}/{index}"
 
 
-def where(root: Root, number: int) -> list[tuple[str, int]]:
-    """Return the blocks (run, index) that may hold a number, those of the newest run first."""
+def candidate_blocks(root: Root, number: int) -> list[tuple[str, int]]:
+    """Return the blocks (run, index) that may contain a number, the newest run first."""
     blocks = []
     for run in reversed(root.runs):
-        index = bisect_right(run.firsts, number) - 1
+        index = bisect_right(run.first_numbers, number) - 1
         if index >= 0:
             blocks.append((run.name, index))
     return blocks
 
 
 def with_run(root: Root, run: Run) -> Root:
-    """Return the root with one more run, of ids that it did not have."""
+    """Return the root with one more run, whose ids it must not contain yet."""
     return Root((*root.runs, run), root.count + run.count)
 
 
-def due(root: Root) -> tuple[Run, ...]:
+def runs_to_merge(root: Root) -> tuple[Run, ...]:
     """Return the runs that should be merged into one.
 
-    These are the eight oldest of the lowest level that has so many, unless the result would be too large.
+    These are the eight oldest runs of the lowest level that has eight and whose merged run would not exceed
+    ``MAX_RUN_ENTRIES``.
     """
     levels: dict[int, list[Run]] = {}
     for run in root.runs:
         levels.setdefault(run.level, []).append(run)
     for level in sorted(levels):
         oldest = tuple(levels[level][:FANOUT])
-        if len(oldest) == FANOUT and sum(run.count for run in oldest) <= MOST_RUN:
+        if len(oldest) == FANOUT and sum(run.count for run in oldest) <= MAX_RUN_ENTRIES:
             return oldest
     return ()
 
 
-def merged(root: Root, old: Sequence[Run], new: Run) -> Root:
+def with_merged_run(root: Root, old: Sequence[Run], new: Run) -> Root:
     """Return the root in which one run takes the place of several.
 
     Raises:
-        ValueError: The new run has another number of ids than the old ones, or the root doesn't have those.
+        ValueError: The number of ids differs from that of the old runs, or the root lacks one of these.
     """
     if new.count != sum(run.count for run in old) or not set(old) <= set(root.runs):
-        raise ValueError("a merge has exactly the ids of what it replaces")
+        raise ValueError("a merged run must have exactly the ids of the runs that it replaces")
     names = {run.name for run in old}
     kept = tuple(run for run in root.runs if run.name not in names)
     return Root((new, *kept), root.count)
 
 
-def merge(runs: Sequence[Sequence[Final]]) -> Iterator[Final]:
+def merge_entries(runs: Sequence[Sequence[HistoryEntry]]) -> Iterator[HistoryEntry]:
     """Yield the entries of several runs in order.
 
     Raises:
--- a/pearstep/history/verification.py
+++ b/pearstep/history/verification.py
@@ -8,7 +8,7 @@
 
 from pearstep.domain.job_state import JobState
 from pearstep.domain.task_set import parse_task_ranges, task_numbers
-from pearstep.history.blocks import BadBlockError, Final, number_of, ref_of, unpack
+from pearstep.history.blocks import BadBlockError, HistoryEntry, format_job_id, parse_job_number, unpack
 from pearstep.history.compaction import COMPACTOR
 from pearstep.history.tree import BUCKETS, Root, block_key, bucket_of, root_key
 from pearstep.state import records
@@ -65,7 +65,7 @@
     report = Report()
     jobs: dict[str, JobRecord] = {}
     roots: dict[str, Root] = {}
-    blocks: dict[str, list[Final]] = {}
+    blocks: dict[str, list[HistoryEntry]] = {}
     rows: list[tuple[str, RouteRecord | PlacementRecord]] = []
     for key, raw in pairs:
         kind = report.kinds.setdefault(key.partition("/")[0], Kind())
@@ -148,7 +148,7 @@
 
 
 def _check_history(
-    report: Report, jobs: dict[str, JobRecord], roots: dict[str, Root], blocks: dict[str, list[Final]]
+    report: Report, jobs: dict[str, JobRecord], roots: dict[str, Root], blocks: dict[str, list[HistoryEntry]]
 ) -> None:
     """Check roots against the blocks that they name, and blocks against the records of jobs."""
     named: set[str] = set()
@@ -160,10 +160,10 @@
             continue
         seen: dict[int, str] = {}
         for run in root.runs:
-            names = [block_key(bucket, run.name, index) for index in range(len(run.firsts))]
+            names = [block_key(bucket, run.name, index) for index in range(len(run.first_numbers))]
             named.update(names)
             count = 0
-            for name, first in zip(names, run.firsts, strict=True):
+            for name, first in zip(names, run.first_numbers, strict=True):
                 count += _check_block(report, jobs, _NamedBlock(key, bucket, name, first), blocks, seen)
             if count != run.count:
                 report.violation(f"{key}: run {run.name} has {count} jobs instead of {run.count}")
@@ -187,7 +187,7 @@
     report: Report,
     jobs: dict[str, JobRecord],
     expected: _NamedBlock,
-    blocks: dict[str, list[Final]],
+    blocks: dict[str, list[HistoryEntry]],
     seen: dict[int, str],
 ) -> int:
     """Check a block and return how many entries it has."""
@@ -204,11 +204,16 @@
 
 
 def _check_entry(
-    report: Report, jobs: dict[str, JobRecord], name: str, bucket: int, entry: Final, seen: dict[int, str]
+    report: Report,
+    jobs: dict[str, JobRecord],
+    name: str,
+    bucket: int,
+    entry: HistoryEntry,
+    seen: dict[int, str],
 ) -> None:
     """Check an entry: its bucket, that ``seen`` has it in no other block, and the job's own record."""
-    job_id = ref_of(entry.number)
-    if bucket_of(entry.number) != bucket or number_of(job_id) != entry.number:
+    job_id = format_job_id(entry.number)
+    if bucket_of(entry.number) != bucket or parse_job_number(job_id) != entry.number:
         report.violation(f"{name}: {job_id} does not belong there")
     if seen.setdefault(entry.number, name) != name:
         report.violation(f"{name}: {job_id} is in {seen[entry.number]}, too")
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -22,7 +22,7 @@
 from pearstep.emulator.key_value_store import InMemoryStore, LeaseNotFoundError
 from pearstep.history import blocks, tree
 from pearstep.history import extension as place_module
-from pearstep.history.eligibility import all_settled, settled
+from pearstep.history.eligibility import compactable_job, compactable_jobs
 from pearstep.history.extension import Compacting, may_begin
 from pearstep.history.settings import HistoryError, HistorySettings, load
 from pearstep.protocol import controller_messages as wire
@@ -310,7 +310,7 @@
             tree.block_key(b, r.name, i)
             for b, root in roots.items()
             for r in root.runs
-            for i in range(len(r.firsts))
+            for i in range(len(r.first_numbers))
         }
         assert named == {k for k in keys if k.startswith("zb/")}
         assert not node.compacting.reader.damaged and "compactor" not in keys
@@ -373,8 +373,8 @@
         await steps(world, one, lambda: world.late)
         # No job is due for a while; what is left lying about is swept.
         one.compacting.limits = msgspec.structs.replace(one.compacting.limits, batch=1000)
-        if one.compacting.works is not None:
-            one.compacting.works.limits = one.compacting.limits
+        if one.compacting.planner is not None:
+            one.compacting.planner.limits = one.compacting.limits
         await steps(world, one, lambda: not any(k.startswith("zb/") for k in world.keys.keys))
         world.deliver(0)
         one.compacting.limits = msgspec.structs.replace(one.compacting.limits, batch=1)
@@ -384,8 +384,8 @@
         assert f"j/{REFS[0]}" not in world.keys.keys
         assert [r.name for root in node.compacting.reader.roots.values() for r in root.runs]
 
-    async def forget_it(works):
-        works.ended(False)
+    async def forget_it(planner):
+        planner.record_outcome(False)
 
     in_world(all_of_it)
 
@@ -437,7 +437,8 @@
         number = next(
             n
             for n in range(100, 10**6)
-            if tree.bucket_of(blocks.number_of(f"req-{n}")) == tree.bucket_of(blocks.number_of(REFS[0]))
+            if tree.bucket_of(blocks.parse_job_number(f"req-{n}"))
+            == tree.bucket_of(blocks.parse_job_number(REFS[0]))
         )
         await steps(world, one, lambda: f"j/{REFS[0]}" not in world.keys.keys)
         # Node two has not heard of it: its first transaction fails by the root, and the next is right.
@@ -500,10 +501,10 @@
         one, _ = await two_finished(world)
         compacting = one.compacting
         before = compacting.limits
-        await steps(world, one, lambda: compacting.works is not None)
+        await steps(world, one, lambda: compacting.planner is not None)
         one.kv.mode = "malformed"
         await steps(world, one, lambda: compacting.limits != before)
-        assert compacting.limits.most_ops == before.most_ops // 2 and not compacting.stopped
+        assert compacting.limits.max_ops == before.max_ops // 2 and not compacting.stopped
         await steps(world, one, lambda: f"j/{REFS[0]}" not in world.keys.keys)
         await settle(world)
 
@@ -514,8 +515,8 @@
     async def all_of_it(world):
         one, _ = await two_finished(world)
         compacting = one.compacting
-        await steps(world, one, lambda: compacting.works is not None)
-        compacting.limits = msgspec.structs.replace(compacting.limits, most_ops=1, most_records=1)
+        await steps(world, one, lambda: compacting.planner is not None)
+        compacting.limits = msgspec.structs.replace(compacting.limits, max_ops=1, max_records=1)
         one.kv.mode = "malformed"
         await steps(world, one, lambda: compacting.stopped)
         before = world.keys.revision
@@ -550,7 +551,7 @@
         view.put(key, stamp, msgspec.json.encode(rec), 0)
 
     def of(ref):
-        return settled(ref, view.jobs[ref], 8)
+        return compactable_job(ref, view.jobs[ref], 8)
 
     for n, (ref, state) in enumerate(
         [
@@ -568,12 +569,12 @@
     assert of("req-2") is None  # a task of it may still be there
     put("p/1/req-2/0", 22, PlacementRecord({}, "2"))
     assert of("req-2").records == (("r/1/req-2", 20), ("p/1/req-2/0", 22), ("j/req-2", 11))
-    assert of("req-2").final.done == 1 and settled("req-2", view.jobs["req-2"], 2) is None
+    assert of("req-2").final.done == 1 and compactable_job("req-2", view.jobs["req-2"], 2) is None
     assert of("req-3") is None and of("lent-x-1") is None
-    assert [s.final.number for s in all_settled(view, 6 * SECOND_US, SECOND_US, 8)] == [11, 12, 14]
-    assert all_settled(view, 6 * SECOND_US, 2 * SECOND_US, 8) == []
+    assert [s.final.number for s in compactable_jobs(view, 6 * SECOND_US, SECOND_US, 8)] == [11, 12, 14]
+    assert compactable_jobs(view, 6 * SECOND_US, 2 * SECOND_US, 8) == []
     view.versions["l/req-4"] = 3
-    assert [s.final.number for s in all_settled(view, 6 * SECOND_US, SECOND_US, 8)] == [11, 12]
+    assert [s.final.number for s in compactable_jobs(view, 6 * SECOND_US, SECOND_US, 8)] == [11, 12]
 
 
 def test_settings_say_what_is_wrong(tmp_path):
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -15,7 +15,7 @@
 from pearstep.federation.offload_records import OffloadRecords, PeerRecord
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
-from pearstep.history.blocks import Final, pack, unpack
+from pearstep.history.blocks import HistoryEntry, pack, unpack
 from pearstep.history.extension import CompactorRec
 from pearstep.history.reader import Reader
 from pearstep.history.tree import Root
@@ -110,8 +110,8 @@
         memory_gb=0.0, spare=0.1, rent=False), price=1.0, drained=False, forgotten="")),
 }
 HISTORY = {
-    "history_root_all": (Root, dict(runs=[dict(name="11-0", level=1, count=40, firsts=[1_000_007,
-        1_000_412]), dict(name="12-3", level=0, count=2, firsts=[1_000_500])], count=42)),
+    "history_root_all": (Root, dict(runs=[dict(name="11-0", level=1, count=40, first_numbers=[1_000_007,
+        1_000_412]), dict(name="12-3", level=0, count=2, first_numbers=[1_000_500])], count=42)),
     "history_root_defaults": (Root, dict(runs=[], count=0)),
     "compactor": (CompactorRec, dict(node="node-0", process=9_007_199_254_740_991)),
 }
@@ -242,9 +242,9 @@
         {"number": 12_345_678_901_234_567_890, "cancelled": False, "done": 100_000},
     ]
     again = [
-        Final(1_000_007, False, 2),
-        Final(1_000_412, True, 0),
-        Final(12_345_678_901_234_567_890, False, 100_000),
+        HistoryEntry(1_000_007, False, 2),
+        HistoryEntry(1_000_412, True, 0),
+        HistoryEntry(12_345_678_901_234_567_890, False, 100_000),
     ]
     assert [msgspec.json.encode(block.decode()) for block in pack(again, 16_384)] == [stored("history_block")]
 
@@ -256,7 +256,7 @@
     raw = msgspec.json.encode([[["11-0", 0, 3, [1_000_007]]], 3])
     assert view.put("hr/5", 1, raw, 0) and view.put("zb/5/11-0/0", 2, stored("history_block"), 0)
     assert view.put(KEYS["compactor"], 3, stored("compactor"), 0)
-    assert sorted(reader.roots) == [5] and reader.history.filled(5, "11-0") and not reader.damaged
+    assert sorted(reader.roots) == [5] and reader.history.has_filter(5, "11-0") and not reader.damaged
     assert reader.compactor == stored("compactor")
 
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -9,9 +9,18 @@
 from hypothesis import strategies as st
 
 from pearstep.domain.job_state import JobState
-from pearstep.history.blocks import BadBlockError, Final, count_of, find, number_of, pack, ref_of, unpack
-from pearstep.history.compaction import COMPACTOR, IDLE, Compaction, Settled
-from pearstep.history.lookup import Absent, History, Read
+from pearstep.history.blocks import (
+    BadBlockError,
+    HistoryEntry,
+    count_entries,
+    find_entry,
+    format_job_id,
+    pack,
+    parse_job_number,
+    unpack,
+)
+from pearstep.history.compaction import COMPACTOR, IDLE, CompactableJob, Compaction
+from pearstep.history.lookup import Absent, History, NeedsBlock
 from pearstep.history.tree import (
     BUCKETS,
     FANOUT,
@@ -19,29 +28,29 @@
     Run,
     block_key,
     bucket_of,
-    due,
-    merge,
-    merged,
+    candidate_blocks,
+    merge_entries,
     root_key,
-    where,
+    runs_to_merge,
+    with_merged_run,
     with_run,
 )
 
 DIGITS = st.text("0123456789", min_size=1, max_size=20)
 ENTRIES = st.dictionaries(DIGITS, st.tuples(st.booleans(), st.integers(0, 100_000)), max_size=60).map(
-    lambda d: sorted(Final(number_of("req-" + k) or 0, c, n) for k, (c, n) in d.items())
+    lambda d: sorted(HistoryEntry(parse_job_number("req-" + k) or 0, c, n) for k, (c, n) in d.items())
 )
 
 
 @given(DIGITS)
 def test_an_id_is_found_again_with_its_leading_zeros(digits):
-    assert ref_of(number_of("req-" + digits)) == "req-" + digits
+    assert format_job_id(parse_job_number("req-" + digits)) == "req-" + digits
 
 
 def test_ids_of_another_kind_are_left_alone():
     for ref in ("lent-huye-4-7", "req-", "req-1a", "req-" + "1" * 21, "x", "req-\u0661"):
-        assert number_of(ref) is None
-    assert number_of("req-7") != number_of("req-07")
+        assert parse_job_number(ref) is None
+    assert parse_job_number("req-7") != parse_job_number("req-07")
 
 
 @given(ENTRIES, st.integers(40, 200))
@@ -49,13 +58,13 @@
     blocks = pack(entries, most)
     assert [e for b in blocks for e in unpack(b)] == entries
     assert all(len(b) <= most for b in blocks)
-    assert [count_of(b) for b in blocks] == [len(unpack(b)) for b in blocks]
+    assert [count_entries(b) for b in blocks] == [len(unpack(b)) for b in blocks]
     for entry in entries:
-        assert any(find(unpack(b), entry.number) == entry for b in blocks)
+        assert any(find_entry(unpack(b), entry.number) == entry for b in blocks)
 
 
 def test_a_value_that_is_exactly_at_the_limit():
-    entries = [Final(number_of(f"req-{n}"), False, 1) for n in range(1000, 3000)]
+    entries = [HistoryEntry(parse_job_number(f"req-{n}"), False, 1) for n in range(1000, 3000)]
     whole = pack(entries, 10**6)[0]
     assert len(pack(entries, len(whole))) == 1 and len(pack(entries, len(whole) - 1)) == 2
 
@@ -79,8 +88,8 @@
 
 def run_of(name, level, entries, most=64):
     blocks = pack(entries, most)
-    firsts = tuple(unpack(b)[0].number for b in blocks)
-    return Run(name, level, len(entries), firsts), blocks
+    first_numbers = tuple(unpack(b)[0].number for b in blocks)
+    return Run(name, level, len(entries), first_numbers), blocks
 
 
 @given(ENTRIES, st.integers(1, 12), st.booleans(), st.integers(0, 10**6))
@@ -91,7 +100,7 @@
         some[rng.randrange(parts)].append(entry)
     by_bucket = {}
     blocks = {}
-    history = History(kept=3)
+    history = History(max_cached_blocks=3)
     for i, part in enumerate(some):
         for bucket in range(BUCKETS):
             mine = [e for e in part if bucket_of(e.number) == bucket]
@@ -105,52 +114,56 @@
         for bucket, root in by_bucket.items():
             for run in root.runs:
                 all_of = [
-                    e for k in range(len(run.firsts)) for e in unpack(blocks[block_key(bucket, run.name, k)])
+                    e
+                    for k in range(len(run.first_numbers))
+                    for e in unpack(blocks[block_key(bucket, run.name, k)])
                 ]
-                history.fill(bucket, run.name, all_of)
+                history.build_filter(bucket, run.name, all_of)
         assert (history.filter_bytes > 0) == bool(entries)
 
-    def ask(number):
-        reads, passed = 0, set()
-        while isinstance(found := history.ask(number, passed), Read):
+    def look_up(number):
+        reads, searched = 0, set()
+        while isinstance(found := history.look_up(number, searched), NeedsBlock):
             history.put_block(found.key, blocks[found.key])
             reads += 1
             assert reads <= parts
         return found
 
     for entry in entries:
-        assert ask(entry.number) == entry
+        assert look_up(entry.number) == entry
     known = {e.number for e in entries}
     for _ in range(20):
-        number = number_of(f"req-{rng.randrange(10**6)}")
+        number = parse_job_number(f"req-{rng.randrange(10**6)}")
         if number not in known:
-            found = ask(number)
+            found = look_up(number)
             bucket = bucket_of(number)
             assert found == Absent(root_key(bucket), 5 if bucket in by_bucket else 0)
 
 
 def test_eight_runs_of_a_level_become_one_and_no_id_is_lost_on_the_way():
-    entries = [Final(number_of(f"req-{n}"), n % 3 == 0, n) for n in range(1000, 1000 + FANOUT * 4)]
+    entries = [
+        HistoryEntry(parse_job_number(f"req-{n}"), n % 3 == 0, n) for n in range(1000, 1000 + FANOUT * 4)
+    ]
     root, contents = Root(), {}
     for i in range(FANOUT):
         mine = entries[i::FANOUT]
         run, _ = run_of(f"a{i}", 0, mine)
-        assert not due(root)
+        assert not runs_to_merge(root)
         root, contents[run.name] = with_run(root, run), mine
-    old = due(root)
+    old = runs_to_merge(root)
     assert [r.name for r in old] == [f"a{i}" for i in range(FANOUT)]
-    together = list(merge([contents[r.name] for r in old]))
+    together = list(merge_entries([contents[r.name] for r in old]))
     assert together == entries
     big, _ = run_of("b", 1, together)
-    after = merged(root, old, big)
+    after = with_merged_run(root, old, big)
     assert after.count == root.count == len(entries) and [r.name for r in after.runs] == ["b"]
     with pytest.raises(ValueError, match="exactly"):
-        merged(root, old, run_of("c", 1, together[1:])[0])
+        with_merged_run(root, old, run_of("c", 1, together[1:])[0])
     with pytest.raises(ValueError, match="exactly"):
-        merged(after, old, big)
+        with_merged_run(after, old, big)
     with pytest.raises(ValueError, match="two runs"):
-        list(merge([entries, entries[:1]]))
-    assert where(after, 0) == []
+        list(merge_entries([entries, entries[:1]]))
+    assert candidate_blocks(after, 0) == []
 
 
 # -- the state service, nodes that accept, compactors that come and go ----------------------------------
@@ -203,7 +216,7 @@
         return [
             e
             for run in root.runs
-            for k in range(len(run.firsts))
+            for k in range(len(run.first_numbers))
             for e in unpack(keys[block_key(bucket, run.name, k)][1])
         ]
 
@@ -211,11 +224,11 @@
         """What a node that has read these keys knows of an id: its record, its final entry, or nothing."""
         if f"j/{ref}" in keys:
             return keys[f"j/{ref}"][1]
-        number = number_of(ref)
+        number = parse_job_number(ref)
         bucket = bucket_of(number)
         root = keys.get(root_key(bucket), (0, Root()))[1]
         try:
-            found = find(sorted(self.entries(root, bucket, keys)), number)
+            found = find_entry(sorted(self.entries(root, bucket, keys)), number)
         except KeyError:
             return "root is old"  # a block that was merged away: the root is read anew
         return found.state if found is not None else None
@@ -227,7 +240,7 @@
         keys = self.views[node]
         if self.look(keys, ref) is not None:
             return
-        key = root_key(bucket_of(number_of(ref)))
+        key = root_key(bucket_of(parse_job_number(ref)))
         conditions = {f"j/{ref}": 0}
         if self.cond_root:
             conditions[key] = keys.get(key, (0, None))[0]
@@ -269,12 +282,16 @@
         out = []
         for key, (stamp, value) in self.store.keys.items():
             ref = key[2:]
-            if key.startswith("j/") and value != "queued" and bucket_of(number_of(ref)) == bucket:
+            if key.startswith("j/") and value != "queued" and bucket_of(parse_job_number(ref)) == bucket:
                 records = [(key, stamp)]
                 place = f"p/0/{ref}/0"
                 if place in self.store.keys:
                     records.insert(0, (place, self.store.stamp(place)))
-                out.append(Settled(Final(number_of(ref), value == JobState.CANCELLED, 1), tuple(records)))
+                out.append(
+                    CompactableJob(
+                        HistoryEntry(parse_job_number(ref), value == JobState.CANCELLED, 1), tuple(records)
+                    )
+                )
         return out
 
     def compact(self, which, bucket, mode, crash):
@@ -287,9 +304,9 @@
             there = {e.number for e in self.entries(root, bucket, self.store.keys)}
             jobs = self.settled(bucket)
             prefix = f"zb/{bucket}/"
-            one.clear([j for j in jobs if j.final.number in there]) or one.begin(
+            one.begin_clear([j for j in jobs if j.final.number in there]) or one.begin_write(
                 [j for j in jobs if j.final.number not in there][:2]
-            ) or one.sweep(root, [k for k in self.store.keys if k.startswith(prefix)])
+            ) or one.begin_sweep(root, [k for k in self.store.keys if k.startswith(prefix)])
         step = one.step(root, self.store.stamp(root_key(bucket)))
         if step is None:
             return
@@ -300,9 +317,9 @@
             conditions.pop(root_key(bucket))
         done = self.send(conditions, step.puts, step.deletes, mode)
         if crash:
-            one.ended(False)
+            one.record_outcome(False)
         else:
-            one.ended(bool(done), done is not None)
+            one.record_outcome(bool(done), done is not None)
 
     def check(self):
         """Any node that reads now, with any of the views, tells the same as the reference, or older where it
@@ -318,7 +335,7 @@
                 assert known is None, f"{ref} was invented: {known}"
 
 
-BUCKETS_USED = sorted({bucket_of(number_of(ref) or 0) for ref in Service.IDS})
+BUCKETS_USED = sorted({bucket_of(parse_job_number(ref) or 0) for ref in Service.IDS})
 EVENTS = st.tuples(
     st.sampled_from(["accept", "accept", "finish", "follow", "take over", "deliver"] + ["compact"] * 8),
     st.integers(0, 11),
@@ -365,7 +382,7 @@
     ]
     for bucket in BUCKETS_USED:
         root = service.store.root(bucket)
-        named = {block_key(bucket, r.name, k) for r in root.runs for k in range(len(r.firsts))}
+        named = {block_key(bucket, r.name, k) for r in root.runs for k in range(len(r.first_numbers))}
         assert named == {k for k in service.store.keys if k.startswith(f"zb/{bucket}/")}
         assert root.count == len(service.entries(root, bucket, service.store.keys))
 
@@ -379,7 +396,7 @@
     """
     service = Service(0, **without)
     ref = service.IDS[0]
-    bucket = bucket_of(number_of(ref))
+    bucket = bucket_of(parse_job_number(ref))
     service.take_over()
     service.follow(0)
     service.follow(1)
@@ -403,7 +420,7 @@
     """A compactor that does not know that it is over sweeps what its successor has just written."""
     service = Service(0, **without)
     ref = service.IDS[0]
-    bucket = bucket_of(number_of(ref))
+    bucket = bucket_of(parse_job_number(ref))
     service.take_over()
     service.follow(0)
     service.accept(0, ref, "ok")
@@ -411,7 +428,7 @@
     service.take_over()
     service.compact(1, bucket, "ok", False)  # its blocks are there, the root does not name them yet
     old = service.compactors[0][bucket]
-    assert old.sweep(Root(), [k for k in service.store.keys if k.startswith("zb/")])
+    assert old.begin_sweep(Root(), [k for k in service.store.keys if k.startswith("zb/")])
     service.compact(0, bucket, "ok", False)
     for _ in range(3):
         service.compact(1, bucket, "ok", False)  # the root, and the job's records go
@@ -432,7 +449,7 @@
     service = Service(0, **without)
     service.take_over()
     service.follow(0)
-    first, second = (ref for ref in service.IDS if bucket_of(number_of(ref)) == SHARED)
+    first, second = (ref for ref in service.IDS if bucket_of(parse_job_number(ref)) == SHARED)
     for ref in (first, second):
         service.accept(0, ref, "ok")
     service.finish(first, JobState.DONE)
@@ -448,7 +465,7 @@
 
 
 def test_a_root_that_comes_late_does_not_take_the_place_of_a_later_one(monkeypatch):
-    ids = [f"req-{n}" for n in range(100) if bucket_of(number_of(f"req-{n}")) == SHARED][:2]
+    ids = [f"req-{n}" for n in range(100) if bucket_of(parse_job_number(f"req-{n}")) == SHARED][:2]
     monkeypatch.setattr(Service, "IDS", ids)
     late_root()
     with pytest.raises(AssertionError, match="was"):
@@ -457,7 +474,7 @@
 
 def test_a_compaction_gives_up_a_merge_when_the_root_is_another():
     one = Compaction(0, 9, 3, 40)
-    entries = [[Final(number_of(f"req-{n}"), False, 1)] for n in range(FANOUT)]
+    entries = [[HistoryEntry(parse_job_number(f"req-{n}"), False, 1)] for n in range(FANOUT)]
     root = Root()
     for i, mine in enumerate(entries):
         root = with_run(root, run_of(f"a{i}", 0, mine)[0])
@@ -465,35 +482,35 @@
     assert not one.begin_merge(root, {}) and one.begin_merge(root, contents)
     while one.state == "merging":
         assert one.step(root, 4).conditions == {COMPACTOR: 9}
-        one.ended(True)
+        one.record_outcome(True)
     assert one.step(Root(), 5) is None and one.state == IDLE
     assert one.begin_merge(root, contents)
     while one.state == "merging":
         one.step(root, 4)
-        one.ended(True)
+        one.record_outcome(True)
     step = one.step(root, 4)
     assert step.conditions == {COMPACTOR: 9, "hr/0": 4} and step.puts["hr/0"].count == FANOUT
-    one.ended(True)
+    one.record_outcome(True)
     gone = set()
     while one.state == "sweeping":
         gone |= set(one.step(step.puts["hr/0"], 5).deletes)
-        one.ended(True)
+        one.record_outcome(True)
     assert gone == {f"zb/0/a{i}/0" for i in range(FANOUT)}
 
 
 def test_a_question_with_more_blocks_than_are_kept_comes_to_its_end():
     # Seen: with more runs without a filter than blocks kept, each read put out the one that was read before.
-    numbers = [n for n in (number_of(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 2][:12]
+    numbers = [n for n in (parse_job_number(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 2][:12]
     root, blocks = Root(), {}
     for i, number in enumerate(numbers[:10]):
-        run, packed = run_of(f"r{i}", 0, [Final(number, False, 1)])
+        run, packed = run_of(f"r{i}", 0, [HistoryEntry(number, False, 1)])
         root = with_run(root, run)
         blocks[block_key(2, run.name, 0)] = packed[0]
-    history = History(kept=3)
+    history = History(max_cached_blocks=3)
     history.put_root(2, 5, root)
-    passed, reads = set(), 0
-    while isinstance(found := history.ask(numbers[11], passed), Read):
+    searched, reads = set(), 0
+    while isinstance(found := history.look_up(numbers[11], searched), NeedsBlock):
         history.put_block(found.key, blocks[found.key])
         reads += 1
         assert reads <= 10
-    assert found == Absent(root_key(2), 5) and reads == 10 and len(passed) == 10
+    assert found == Absent(root_key(2), 5) and reads == 10 and len(searched) == 10
--- a/tests/test_portable.py
+++ b/tests/test_portable.py
@@ -11,7 +11,7 @@
 from pearstep.cli.main import main
 from pearstep.domain.job_state import JobState
 from pearstep.history import export as portable
-from pearstep.history.blocks import Final, number_of, pack, unpack
+from pearstep.history.blocks import HistoryEntry, pack, parse_job_number, unpack
 from pearstep.history.export import Header, PortableError, batches, dump, load, may_import
 from pearstep.history.tree import Root, Run, block_key, bucket_of, root_key
 from pearstep.history.verification import verify
@@ -25,8 +25,8 @@
 
 def sound():
     """A state that holds together: an open job with a placement, a finished one, and two in a block."""
-    numbers = [n for n in (number_of(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 3][:2]
-    (block,) = pack([Final(n, False, 2) for n in numbers], 1000)
+    numbers = [n for n in (parse_job_number(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 3][:2]
+    (block,) = pack([HistoryEntry(n, False, 2) for n in numbers], 1000)
     keys = {
         "j/req-1": raw(JobRecord(spec("req-1"), 0)),
         "r/0/req-1": raw(RouteRecord("0-1")),
@@ -54,8 +54,8 @@
     block = block_key(3, "7-1", 0)
     ref = "req-" + str(numbers[0])[1:]
     entries = unpack(msgspec.json.decode(keys[block]).encode())
-    other = next(n for n in (number_of(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 4)
-    (wrong_bucket,) = pack(sorted([entries[0], Final(other, False, 1)]), 1000)
+    other = next(n for n in (parse_job_number(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 4)
+    (wrong_bucket,) = pack(sorted([entries[0], HistoryEntry(other, False, 1)]), 1000)
     first = min(entries[0].number, other)
     yield "cannot be read", {**keys, "j/req-1": b"[1]"}
     yield "placed by", {**keys, "p/1/req-1/0": raw(PlacementRecord({0: Placement("n", 1, 1, 0)}))}
