--- a/pearstep/history/__init__.py
+++ b/pearstep/history/__init__.py
@@ -1,1 +1,1 @@
-"""Final states of jobs, compact: what of the state need not grow with history. Pure."""
+"""History of finished jobs: stores their final states compactly, so that the state stays small."""
--- a/pearstep/history/errors.py
+++ b/pearstep/history/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors of this package."""
+"""The base class of the errors of this package."""
 
 
 class HistoryPackageError(Exception):
-    """An error of the history of finished jobs; the text is one line for the operator."""
+    """An error in the history of finished jobs; the message is one line for the operator."""
--- a/pearstep/history/verification.py
+++ b/pearstep/history/verification.py
@@ -1,4 +1,4 @@
-"""Verifies the whole state: counts the keys of each kind and names every invariant that does not hold."""
+"""Verifies the whole state: counts the keys of each kind and reports violated invariants."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     RouteRecord,
 )
 
-# Kinds of keys that extensions and commands write and check.
-OTHERS = ("l", "g", "peer", "archive", "importing", COMPACTOR)
-MOST_NAMED = 200
+# Kinds of keys that extensions and commands write and check themselves.
+SKIPPED_KINDS = ("l", "g", "peer", "archive", "importing", COMPACTOR)
+MAX_VIOLATIONS = 200
 
-_root = msgspec.json.Decoder(Root)
-_block = msgspec.json.Decoder(str)
+_root_decoder = msgspec.json.Decoder(Root)
+_block_decoder = msgspec.json.Decoder(str)
 
 
 class Kind(msgspec.Struct):
-    """The number of keys of a kind, and their bytes with their values."""
+    """The number of keys of a kind, and the total bytes of keys and values."""
 
     keys: int = 0
     bytes: int = 0
@@ -40,11 +40,11 @@
 
     Attributes:
         kinds: Counts by kind of key.
-        jobs: Jobs that have their own record.
-        open: Those of them that are not finished.
-        finished: Jobs that have left their records.
-        violations: Invariants that don't hold, each with its key.
-        remarks: What is allowed and mends itself, or what an operator should know.
+        jobs: The number of jobs that have their own record.
+        open: The number of those that are not finished.
+        finished: The number of compacted jobs.
+        violations: Violated invariants, each with its key.
+        remarks: States that are allowed and are cleaned up automatically, or that an operator should know.
     """
 
     kinds: dict[str, Kind] = {}
@@ -55,8 +55,8 @@
     remarks: list[str] = []
 
     def violation(self, text: str) -> None:
-        """Name a violation; beyond the first ``MOST_NAMED`` none is added."""
-        if len(self.violations) < MOST_NAMED:
+        """Add a violation; only the first ``MAX_VIOLATIONS`` are kept."""
+        if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(text)
 
 
@@ -66,48 +66,48 @@
     jobs: dict[str, JobRecord] = {}
     roots: dict[str, Root] = {}
     blocks: dict[str, list[HistoryEntry]] = {}
-    rows: list[tuple[str, RouteRecord | PlacementRecord]] = []
+    task_records: list[tuple[str, RouteRecord | PlacementRecord]] = []
     for key, raw in pairs:
         kind = report.kinds.setdefault(key.partition("/")[0], Kind())
         kind.keys += 1
         kind.bytes += len(key) + len(raw)
         try:
             if key.startswith(HISTORY_ROOT_PREFIX):
-                roots[key] = _root.decode(raw)
+                roots[key] = _root_decoder.decode(raw)
             elif key.startswith(HISTORY_BLOCK_PREFIX):
-                blocks[key] = unpack(_block.decode(raw).encode())
-            elif key.partition("/")[0] not in OTHERS:
+                blocks[key] = unpack(_block_decoder.decode(raw).encode())
+            elif key.partition("/")[0] not in SKIPPED_KINDS:
                 record = records.decode_record(key, raw)
                 if record is None:
                     _report_unreadable(report, key)
                 elif isinstance(record, JobRecord):
                     jobs[key[2:]] = record
                 elif isinstance(record, RouteRecord | PlacementRecord):
-                    rows.append((key, record))
+                    task_records.append((key, record))
         except (BadBlockError, msgspec.MsgspecError) as err:
             report.violation(f"{key}: {err}")
     report.jobs = len(jobs)
     report.open = sum(record.state == JobState.QUEUED for record in jobs.values())
-    _check_rows(report, jobs, rows)
+    _check_task_records(report, jobs, task_records)
     _check_history(report, jobs, roots, blocks)
     return report
 
 
 def _report_unreadable(report: Report, key: str) -> None:
-    """Name a record that can't be decoded: a violation if its kind is known."""
+    """Report a record that can't be decoded: as a violation if its kind is known, else as a remark."""
     if key.partition("/")[0] in records.RECORD_TYPES:
         report.violation(f"{key}: cannot be read")
     else:
         report.remarks.append(f"{key}: is of no kind that this release knows")
 
 
-def _check_rows(
-    report: Report, jobs: dict[str, JobRecord], rows: list[tuple[str, RouteRecord | PlacementRecord]]
+def _check_task_records(
+    report: Report, jobs: dict[str, JobRecord], task_records: list[tuple[str, RouteRecord | PlacementRecord]]
 ) -> None:
     """Check routes and placements against the records of their jobs."""
     placed: dict[tuple[str, int], str] = {}
     routed: dict[tuple[str, int], str] = {}
-    for key, record in rows:
+    for key, record in task_records:
         job = jobs.get(key.split("/")[2])
         if job is None:
             report.remarks.append(f"{key}: its job has no record; the compactor collects it")
@@ -150,7 +150,7 @@
 def _check_history(
     report: Report, jobs: dict[str, JobRecord], roots: dict[str, Root], blocks: dict[str, list[HistoryEntry]]
 ) -> None:
-    """Check roots against the blocks that they name, and blocks against the records of jobs."""
+    """Check roots against the blocks that they reference, and blocks against the records of jobs."""
     named: set[str] = set()
     for key, root in sorted(roots.items()):
         suffix = key[len(HISTORY_ROOT_PREFIX) :]
@@ -175,7 +175,7 @@
 
 
 class _NamedBlock(msgspec.Struct, frozen=True):
-    """A block as a root names it: the key of the root, its bucket, the block's key and first number."""
+    """A block that a root references: the root's key and bucket, the block's key and first number."""
 
     root: str
     bucket: int
@@ -190,7 +190,7 @@
     blocks: dict[str, list[HistoryEntry]],
     seen: dict[int, str],
 ) -> int:
-    """Check a block and return how many entries it has."""
+    """Check a block and return the number of its entries."""
     name = expected.name
     entries = blocks.get(name)
     if entries is None:
@@ -211,7 +211,7 @@
     entry: HistoryEntry,
     seen: dict[int, str],
 ) -> None:
-    """Check an entry: its bucket, that ``seen`` has it in no other block, and the job's own record."""
+    """Check the bucket of an entry, that no other block in ``seen`` has it, and the job's own record."""
     job_id = format_job_id(entry.number)
     if bucket_of(entry.number) != bucket or parse_job_number(job_id) != entry.number:
         report.violation(f"{name}: {job_id} does not belong there")
