--- a/measurements/simulation/built.py
+++ b/measurements/simulation/built.py
@@ -20,7 +20,7 @@
 from pearstep.domain.job_spec import JobSpec
 from pearstep.domain.machine_type import MachineType
 from pearstep.domain.units import SECOND_US
-from pearstep.history.extension import Compacting
+from pearstep.history.extension import CompactionExtension
 from pearstep.history.settings import HistorySettings
 from pearstep.worker.session import Timing
 
@@ -93,7 +93,9 @@
 
     async def _run(self, life: Life) -> None:
         net, setup = self.cluster.net, self.cluster.setup
-        extension = Compacting(HistorySettings(rest_s=20, keep=4, batch=4)) if setup.history else None
+        extension = (
+            CompactionExtension(HistorySettings(rest_s=20, keep=4, batch=4)) if setup.history else None
+        )
         client = RigClient(net, self.name, 175, (self.cluster.state_addr(self.name), CLOUD))
         controller = Controller(
             self.cluster.settings(self),
--- a/pearstep/cli/node.py
+++ b/pearstep/cli/node.py
@@ -100,13 +100,13 @@
     """Load the compaction of finished jobs, if it is configured."""
     if not file:
         return None
-    from pearstep.history.extension import Compacting
-    from pearstep.history.settings import HistoryError
+    from pearstep.history.extension import CompactionExtension
+    from pearstep.history.settings import HistorySettingsError
     from pearstep.history.settings import load as load_history
 
     try:
-        return Compacting(load_history(file))
-    except HistoryError as err:
+        return CompactionExtension(load_history(file))
+    except HistorySettingsError as err:
         _refuse(err)
 
 
--- a/pearstep/cli/state.py
+++ b/pearstep/cli/state.py
@@ -11,9 +11,9 @@
 
 from pearstep.cli.common import AWAY, NO, command, fail, output, show
 from pearstep.controller.settings import StateSettings
-from pearstep.history.export import MARK, PortableError, batches, dump, load, may_import
+from pearstep.history.export import IMPORT_KEY, ExportError, batches, check_import, dump, load
 from pearstep.history.settings import HistorySettings
-from pearstep.history.standalone import Alone
+from pearstep.history.standalone import CommandHost
 from pearstep.history.standalone import compact as compact_now
 from pearstep.history.verification import Report, verify
 from pearstep.local.layout import load as load_cluster
@@ -125,7 +125,7 @@
 def _checked(file: Path, work: Callable[[], Any]) -> Any:
     try:
         return work()
-    except PortableError as err:
+    except ExportError as err:
         fail(f"{file}: {err}", NO)
     except OSError as err:
         fail(f"{file}: {err.strerror}", NO)
@@ -179,7 +179,7 @@
         if addr is not None:
             fail("with --state, say with --parts how many controllers the site has", 2)
         parts = len(load_cluster(root).nodes)
-    alone = Alone(Client(10), where, parts, StateSettings(RPS, write_rps, value_kb, 2 * OPS))
+    alone = CommandHost(Client(10), where, parts, StateSettings(RPS, write_rps, value_kb, 2 * OPS))
     moved, why = await compact_now(alone, HistorySettings(rest_s=rest_s, keep=keep, batch=1, share=1.0))
     click.echo(f"{moved} jobs have left their records")
     if why:
@@ -220,8 +220,8 @@
     store = _store(root, addr)
     pairs, revision = await _all(store)
     there = dict(pairs)
-    mark = msgspec.json.decode(there[MARK]) if MARK in there else None
-    _checked(file, lambda: may_import(header, rows, there, revision, mark, digest))
+    mark = msgspec.json.decode(there[IMPORT_KEY]) if IMPORT_KEY in there else None
+    _checked(file, lambda: check_import(header, rows, there, revision, mark, digest))
 
     async def write(puts: dict[str, Any], conditions: dict[str, int], deletes: list[str]) -> None:
         for _ in range(50):
@@ -237,14 +237,16 @@
         )
 
     if mark is None:
-        await write({MARK: digest}, {MARK: 0}, [])
-    marked = await store.read(MARK)
+        await write({IMPORT_KEY: digest}, {IMPORT_KEY: 0}, [])
+    marked = await store.read(IMPORT_KEY)
     if isinstance(marked, bool):
         fail("the state service does not answer; the same command goes on where it was", AWAY)
     stamp, written = marked.version, 0
     for puts in _checked(file, lambda: list(batches(rows, there, txn_ops))):
-        await write({k: msgspec.Raw(v) for k, v in puts.items()}, {MARK: stamp} | dict.fromkeys(puts, 0), [])
+        await write(
+            {k: msgspec.Raw(v) for k, v in puts.items()}, {IMPORT_KEY: stamp} | dict.fromkeys(puts, 0), []
+        )
         written += len(puts)
-    await write({}, {MARK: stamp}, [MARK])
+    await write({}, {IMPORT_KEY: stamp}, [IMPORT_KEY])
     click.echo(f"{written} of {len(rows)} keys written; start the controllers now")
     return 0
--- a/pearstep/history/host.py
+++ b/pearstep/history/host.py
@@ -1,4 +1,4 @@
-"""What history compaction needs of the process that runs it: a controller, or an operator's command."""
+"""The interface of the process that runs history compaction: a controller or an operator's command."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     @property
     def leadership(self) -> object | None:
-        """What the host does as the leader of the cluster, or None if it isn't the leader."""
+        """The host's work as the leader of the cluster, or None if it isn't the leader."""
 
     def may_act(self) -> bool:
         """Tell whether the lease is certain to be valid now."""
@@ -54,13 +54,13 @@
 
 
 class HistoryQueries(Protocol):
-    """The part of the host that answers users' questions about jobs."""
+    """The part of the host that answers users' queries about jobs."""
 
     history: FinishedJobs | None
 
 
 class HistoryHost(Protocol):
-    """The process that runs history compaction, as ``Compacting.attach`` takes it."""
+    """The process that runs history compaction, as ``CompactionExtension.attach`` takes it."""
 
     @property
     def node(self) -> str:
@@ -88,4 +88,4 @@
 
     @property
     def job_api(self) -> HistoryQueries:
-        """The part that is given the reader of the history."""
+        """The part that receives the reader of the history."""
--- a/pearstep/history/settings.py
+++ b/pearstep/history/settings.py
@@ -11,20 +11,20 @@
 from pearstep.transport.settings_file import Positive, PositiveInt, read_settings
 
 
-class HistoryError(HistoryPackageError):
-    """A setting is missing or wrong; the text is one line for the operator."""
+class HistorySettingsError(HistoryPackageError):
+    """A setting is missing or invalid; the message is one line for the operator."""
 
 
 class HistorySettings(msgspec.Struct, forbid_unknown_fields=True):
     """The settings of the history file.
 
     Attributes:
-        rest_s: How long a finished job keeps its records at least, in seconds.
-        keep: How many finished jobs keep their records.
-        batch: How many more there must be before compaction begins.
-        share: The share of the controller's write budget that compaction takes if none is spare.
-        kept_blocks: Blocks that stay unpacked in memory for polls of old jobs, some 0.3 MB each.
-        most_waiting: Questions that may wait for a block at a time; others are told to come back.
+        rest_s: The minimum time for which a finished job keeps its records, in seconds.
+        keep: The number of finished jobs that keep their records.
+        batch: The number of further finished jobs at which compaction begins.
+        share: The share of the controller's write budget that compaction may use if none is spare.
+        kept_blocks: The number of unpacked blocks cached for polls of old jobs, about 0.3 MB each.
+        most_waiting: The number of lookups that may wait for a block at a time; others must be retried.
         step_s: The interval between steps, in seconds.
     """
 
@@ -41,6 +41,6 @@
     """Read and check a file.
 
     Raises:
-        HistoryError: The file can't be read or a setting is wrong; the text is one line.
+        HistorySettingsError: The file can't be read or a setting is wrong; the text is one line.
     """
-    return read_settings(file, HistorySettings, HistoryError)
+    return read_settings(file, HistorySettings, HistorySettingsError)
--- a/pearstep/history/standalone.py
+++ b/pearstep/history/standalone.py
@@ -15,7 +15,7 @@
 from pearstep.controller.settings import Leading, StateSettings
 from pearstep.domain.units import SECOND_US
 from pearstep.history.compaction import COMPACTOR
-from pearstep.history.extension import NONE, Compacting
+from pearstep.history.extension import NONE, CompactionExtension
 from pearstep.history.settings import HistorySettings
 from pearstep.state.replica import Replica
 from pearstep.transport.clock import now_us
@@ -31,13 +31,13 @@
     """The lease of a command, which never leads and announces no history format."""
 
     def __init__(self) -> None:
-        """Begin without a lease."""
+        """Create the leases without a lease."""
         self.lease_id: int | None = None
         self.leadership: None = None
         self.version = 0
 
     def may_act(self) -> bool:
-        """Tell that nothing but the lease itself stands against acting.
+        """Return True: only the lease itself restricts a command.
 
         A command that was paused loses its lease as a controller does.
         """
@@ -51,7 +51,7 @@
 
 
 class CommandSettings(msgspec.Struct, frozen=True):
-    """The settings of a command, as ``host.HostSettings`` has them."""
+    """The settings of a command; see ``host.HostSettings``."""
 
     shard_count: int
     params: CommandParameters
@@ -59,24 +59,24 @@
 
 
 class CommandQueries:
-    """Takes the reader of the history, which nobody asks in a command."""
+    """Receives the reader of the history, which a command does not use."""
 
     def __init__(self) -> None:
-        """Begin without a reader."""
+        """Start without a reader."""
         self.history: FinishedJobs | None = None
 
 
-class Alone:
+class CommandHost:
     """The host of compaction in an operator's command; see ``host.HistoryHost``."""
 
-    def __init__(self, http: Client, state: str, parts: int, limits: StateSettings) -> None:
-        """Connect to a state service; nothing is read yet.
+    def __init__(self, http: Client, state: str, shard_count: int, limits: StateSettings) -> None:
+        """Create a client of a state service; reads nothing yet.
 
         Args:
             http: The connections to use.
             state: The address of the state service.
-            parts: The number of controllers of the site.
-            limits: What the command may ask of the state service.
+            shard_count: The number of controllers of the site.
+            limits: The limits of the state service that the command observes.
         """
         self.node = f"command-{os.getpid()}"
         self.kv = open_kv_store(http, state, limits.rps, limits.write_rps)
@@ -85,7 +85,7 @@
             self.kv, self.replica, Leading(), lambda key, known: None, lambda: None
         )
         self.leases = CommandLeases()
-        self.settings = CommandSettings(parts, CommandParameters(limits), limits.txn_ops)
+        self.settings = CommandSettings(shard_count, CommandParameters(limits), limits.txn_ops)
         self.job_api = CommandQueries()
 
     async def keep_lease(self) -> None:
@@ -97,38 +97,42 @@
             await asyncio.sleep(LEASE_MS / RENEWALS_PER_LEASE / MS_PER_SECOND)
 
 
-async def compact(alone: Alone, settings: HistorySettings, patience_s: float = 30.0) -> tuple[int, str]:
+async def compact(
+    host: CommandHost, settings: HistorySettings, claim_timeout_s: float = 30.0
+) -> tuple[int, str]:
     """Compact until nothing is due.
 
     Args:
-        alone: The host of the command.
+        host: The host of the command.
         settings: The rules of compaction.
-        patience_s: How long to wait for the key of the compactor, in seconds.
+        claim_timeout_s: How long to wait for the key of the compactor, in seconds.
 
     Returns:
-        The number of jobs that have left their records, and why compaction ended early, for the operator; an
-        empty text if everything is done.
+        The number of compacted jobs, and the reason for the operator why compaction ended early, empty if all
+        is done.
     """
-    compacting = Compacting(settings)
-    compacting.attach(alone)
-    # Read only now: the reader must be registered with the replica before the first root is read.
-    if not await alone.follower.load():
+    compacting = CompactionExtension(settings)
+    compacting.attach(host)
+    # The reader must be registered with the replica before the first root is read.
+    if not await host.follower.load():
         return 0, "the state service does not answer"
-    keeper = asyncio.ensure_future(alone.keep_lease())
-    claim_until_us = now_us() + int(patience_s * SECOND_US)
+    lease_task = asyncio.ensure_future(host.keep_lease())
+    claim_until_us = now_us() + int(claim_timeout_s * SECOND_US)
     try:
-        while await compacting.reader.catch_up(alone.follower.loads):
+        while await compacting.reader.catch_up(host.follower.loads):
             pass
-        return await _compact_all(alone, compacting, claim_until_us)
+        return await _compact_all(host, compacting, claim_until_us)
     finally:
-        keeper.cancel()
+        lease_task.cancel()
 
 
-async def _compact_all(alone: Alone, compacting: Compacting, claim_until_us: int) -> tuple[int, str]:
-    """Take steps until nothing is due or something stands against it; returns as ``compact``."""
+async def _compact_all(
+    host: CommandHost, compacting: CompactionExtension, claim_until_us: int
+) -> tuple[int, str]:
+    """Take steps until nothing is due or compaction can't continue; returns the same as ``compact``."""
     moved, has_worked = 0, False
     while True:
-        await alone.follower.read_barrier()
+        await host.follower.read_barrier()
         await compacting.step()
         if compacting.reader.damaged:
             return moved, f"{compacting.reader.damaged[0]} is damaged: see `pearstep state verify`"
@@ -136,14 +140,14 @@
             return moved, "the state service takes no step of it: see the log"
         if compacting.planner is not None:
             has_worked, moved = True, compacting.planner.moved_count
-        elif compacting.state == NONE and (has_worked or not compacting.due()):
+        elif compacting.state == NONE and (has_worked or not compacting.has_work()):
             return moved, ""
         elif not has_worked and now_us() > claim_until_us:
-            return moved, _why_not_claimed(alone)
+            return moved, _why_not_claimed(host)
 
 
-def _why_not_claimed(alone: Alone) -> str:
-    """Say for the operator why the key of the compactor could not be taken."""
-    if alone.replica.version_of(COMPACTOR):
+def _why_not_claimed(host: CommandHost) -> str:
+    """Return a message for the operator why the key of the compactor could not be claimed."""
+    if host.replica.version_of(COMPACTOR):
         return "a controller compacts at the moment"
     return "not every controller has said that it reads the history: start all with --history FILE"
--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -23,8 +23,8 @@
 from pearstep.history import blocks, tree
 from pearstep.history import extension as place_module
 from pearstep.history.eligibility import compactable_job, compactable_jobs
-from pearstep.history.extension import Compacting, may_begin
-from pearstep.history.settings import HistoryError, HistorySettings, load
+from pearstep.history.extension import CompactionExtension, may_compact
+from pearstep.history.settings import HistorySettings, HistorySettingsError, load
 from pearstep.protocol import controller_messages as wire
 from pearstep.protocol.emulator_messages import decode_transaction
 from pearstep.state.records import JobRecord, LeaseHolderRecord, Placement, PlacementRecord, RouteRecord
@@ -149,7 +149,7 @@
         self.leases = SimpleNamespace(lease_id=None, may_act=lambda: True, leadership=None, version=1)
         state = SimpleNamespace(write_rps=20.0, txn_ops=16, value_kb=0.1)
         self.settings = SimpleNamespace(shard_count=PARTS, params=SimpleNamespace(state=state), txn_ops=6)
-        self.compacting = Compacting(HistorySettings(rest_s=1, keep=keep, batch=1, step_s=1e-9))
+        self.compacting = CompactionExtension(HistorySettings(rest_s=1, keep=keep, batch=1, step_s=1e-9))
         self.compacting.attach(self)
         self.lease()
 
@@ -450,16 +450,16 @@
 
 def test_nothing_leaves_its_records_before_every_node_knows_how_to_read_it():
     view = Replica()
-    assert not may_begin(view, 2)
+    assert not may_compact(view, 2)
     view.put("part/0", 1, msgspec.json.encode(LeaseHolderRecord("n0", 2)), 0)
     view.put("part/1", 2, msgspec.json.encode(LeaseHolderRecord("n0", 2)), 0)
-    assert not may_begin(view, 2)  # one node holds both: the other may be an older one
+    assert not may_compact(view, 2)  # one node holds both: the other may be an older one
     view.put("part/1", 3, msgspec.json.encode(LeaseHolderRecord("n1", 1)), 0)
-    assert not may_begin(view, 2)
+    assert not may_compact(view, 2)
     view.put("part/1", 4, msgspec.json.encode(LeaseHolderRecord("n1", 2)), 0)
-    assert may_begin(view, 2)
+    assert may_compact(view, 2)
     view.put("part/1", 5, msgspec.json.encode(LeaseHolderRecord("")), 0)
-    assert not may_begin(view, 2)
+    assert not may_compact(view, 2)
 
 
 def test_a_node_that_cannot_read_the_history_does_not_guess():
@@ -580,7 +580,7 @@
 def test_settings_say_what_is_wrong(tmp_path):
     file = tmp_path / "history.yaml"
     file.write_text("share: 2\n")
-    with pytest.raises(HistoryError, match="share"):
+    with pytest.raises(HistorySettingsError, match="share"):
         load(str(file))
     assert load("deploy/history.yaml") == HistorySettings()
 
@@ -597,7 +597,7 @@
         await blind.follower.load()
         blind.replica.extension_readers.update(others)
         await blind.read()
-        assert blind.compacting.reader.whole and blind.replica.has_unread_history
+        assert blind.compacting.reader.fully_listed and blind.replica.has_unread_history
         before = world.keys.revision
         for _ in range(5):
             world.now += 6 * SECOND_US
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -135,7 +135,7 @@
     worker_settings.WorkerError,
     archive_settings.ArchiveError,
     federation_settings.FederationError,
-    history_settings.HistoryError,
+    history_settings.HistorySettingsError,
 )
 
 
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -16,7 +16,7 @@
 from pearstep.history import compaction, tree
 from pearstep.history import export as portable
 from pearstep.history.blocks import HistoryEntry, pack, unpack
-from pearstep.history.extension import CompactorRec
+from pearstep.history.extension import CompactorRecord
 from pearstep.history.reader import Reader
 from pearstep.history.tree import Root
 from pearstep.state import records
@@ -113,7 +113,7 @@
     "history_root_all": (Root, dict(runs=[dict(name="11-0", level=1, count=40, first_numbers=[1_000_007,
         1_000_412]), dict(name="12-3", level=0, count=2, first_numbers=[1_000_500])], count=42)),
     "history_root_defaults": (Root, dict(runs=[], count=0)),
-    "compactor": (CompactorRec, dict(node="node-0", process=9_007_199_254_740_991)),
+    "compactor": (CompactorRecord, dict(node="node-0", process=9_007_199_254_740_991)),
 }
 ARCHIVE = {
     "archive_node": (Here, dict(addr="127.0.0.1:9100")),
@@ -164,7 +164,7 @@
         "history roots": records.HISTORY_ROOT_PREFIX,
         "history blocks": records.HISTORY_BLOCK_PREFIX,
         "compactor": compaction.COMPACTOR,
-        "import under way": portable.MARK,
+        "import under way": portable.IMPORT_KEY,
         "archive": members.PREFIX,
         "archive nodes": members.NODES,
         "archive members": members.LIST,
@@ -257,7 +257,7 @@
     assert view.put("hr/5", 1, raw, 0) and view.put("zb/5/11-0/0", 2, stored("history_block"), 0)
     assert view.put(KEYS["compactor"], 3, stored("compactor"), 0)
     assert sorted(reader.roots) == [5] and reader.history.has_filter(5, "11-0") and not reader.damaged
-    assert reader.compactor == stored("compactor")
+    assert reader.compactor_record == stored("compactor")
 
 
 @pytest.mark.parametrize("ref, key", files.table("state/root_keys_of_ids.json").items())
--- a/tests/test_portable.py
+++ b/tests/test_portable.py
@@ -12,7 +12,7 @@
 from pearstep.domain.job_state import JobState
 from pearstep.history import export as portable
 from pearstep.history.blocks import HistoryEntry, pack, parse_job_number, unpack
-from pearstep.history.export import Header, PortableError, batches, dump, load, may_import
+from pearstep.history.export import ExportError, Header, batches, check_import, dump, load
 from pearstep.history.tree import Root, Run, block_key, bucket_of, root_key
 from pearstep.history.verification import verify
 from pearstep.state.records import JobRecord, MachineRecord, Placement, PlacementRecord, RouteRecord
@@ -123,7 +123,7 @@
         file.write_bytes(bad)
         try:
             found = load(file)
-        except PortableError:
+        except ExportError:
             continue
         # A bit that zstandard does not use: what comes out is what went in.
         assert found[1] == rows
@@ -139,10 +139,10 @@
     monkeypatch.setattr(portable, "VERSION", 2)
     dump(tmp_path / "x", [], 9)
     monkeypatch.setattr(portable, "VERSION", 1)
-    with pytest.raises(PortableError, match="version 2"):
+    with pytest.raises(ExportError, match="version 2"):
         load(tmp_path / "x")
     (tmp_path / "y").write_bytes(b"something else")
-    with pytest.raises(PortableError, match="cannot be read"):
+    with pytest.raises(ExportError, match="cannot be read"):
         load(tmp_path / "y")
 
 
@@ -150,19 +150,19 @@
     keys, _ = sound()
     rows = sorted((k, v) for k, v in keys.items() if k not in ("compactor", "part/0"))
     header = Header(portable.FORMAT, 1, "x", 100)
-    may_import(header, rows, [], 100, None, "d")
-    may_import(header, rows, ["j/req-1", "importing"], 120, "d", "d")
-    calm = [(k, v) for k, v in rows if k[0] not in "mp"]
-    may_import(header, calm, [], 0, None, "d")
+    check_import(header, rows, [], 100, None, "d")
+    check_import(header, rows, ["j/req-1", "importing"], 120, "d", "d")
+    rows_without_revisions = [(k, v) for k, v in rows if k[0] not in "mp"]
+    check_import(header, rows_without_revisions, [], 0, None, "d")
     for words, args in (
         ("controllers run", (rows, ["part/0"], 100, None)),
         ("another file", (rows, ["importing"], 100, "e")),
         ("already", (rows, ["j/req-9"], 100, None)),
         ("carry numbers", (rows, [], 99, None)),
-        ("hold together", ([*calm, ("r/0/req-2", raw(RouteRecord("0-9")))], [], 0, None)),
+        ("hold together", ([*rows_without_revisions, ("r/0/req-2", raw(RouteRecord("0-9")))], [], 0, None)),
     ):
-        with pytest.raises(PortableError, match=words):
-            may_import(header, args[0], args[1], args[2], args[3], "d")
+        with pytest.raises(ExportError, match=words):
+            check_import(header, args[0], args[1], args[2], args[3], "d")
 
 
 @given(KEYS, st.integers(1, 5), st.data())
@@ -177,7 +177,7 @@
         there |= puts
     assert there == keys
     if rows:
-        with pytest.raises(PortableError, match="another value"):
+        with pytest.raises(ExportError, match="another value"):
             list(batches(rows, {rows[0][0]: rows[0][1] + b"x"}, most))
 
 
--- a/tests/test_state_compact.py
+++ b/tests/test_state_compact.py
@@ -15,7 +15,7 @@
 from pearstep.history import extension, standalone
 from pearstep.history.compaction import COMPACTOR
 from pearstep.history.settings import HistorySettings
-from pearstep.history.standalone import Alone, compact
+from pearstep.history.standalone import CommandHost, compact
 from pearstep.history.verification import verify
 from pearstep.protocol.controller_messages import encode_transaction
 from pearstep.protocol.emulator_messages import decode_transaction
@@ -71,7 +71,7 @@
 def run_compact(service, patience_s=30.0, limits=LIMITS, keep=1, prepare=lambda alone: None):
     async def run():
         service.listen()
-        alone = Alone(Client(10), service.address, SHARDS, limits)
+        alone = CommandHost(Client(10), service.address, SHARDS, limits)
         prepare(alone)
         settings = HistorySettings(rest_s=1, keep=keep, batch=1, share=1.0, step_s=0.001)
         return await asyncio.wait_for(compact(alone, settings, patience_s), 60)
@@ -82,7 +82,7 @@
 @pytest.fixture(autouse=True)
 def no_idle_wait(monkeypatch):
     """An idle compactor releases its key at once."""
-    monkeypatch.setattr(extension, "LOOK_US", 1000)
+    monkeypatch.setattr(extension, "WORK_CHECK_INTERVAL_US", 1000)
 
 
 def test_all_finished_jobs_but_those_to_keep_move_to_the_history():
@@ -121,7 +121,7 @@
 
     async def run():
         service.listen()
-        alone = Alone(Client(10), service.address, SHARDS, LIMITS)
+        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
         settings = HistorySettings(rest_s=1, keep=1, batch=1, share=1.0, step_s=0.001)
         assert await compact(alone, settings) == (9, "")
         return [await alone.job_api.history.find(f"req-{number * 7919 + 1}") for number in range(9)]
@@ -136,7 +136,7 @@
     service = Service()
     service.add_controllers()
     service.add_finished_jobs(4)
-    service.put({COMPACTOR: extension.CompactorRec("n0", 7)})
+    service.put({COMPACTOR: extension.CompactorRecord("n0", 7)})
     before = dict(service.keys.keys)
     assert run_compact(service, patience_s=0.2) == (0, "a controller compacts at the moment")
     assert dict(service.keys.keys) == before
@@ -177,7 +177,7 @@
     service = Service()
 
     async def run():
-        alone = Alone(Client(10), service.address, SHARDS, LIMITS)
+        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
         return await compact(alone, HistorySettings())
 
     assert asyncio.run(asyncio.wait_for(run(), 60)) == (0, "the state service does not answer")
@@ -194,8 +194,8 @@
 
     async def run():
         service.listen()
-        alone = Alone(Client(10), service.address, SHARDS, LIMITS)
-        keeper = asyncio.ensure_future(alone.keep_lease())
+        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
+        lease_task = asyncio.ensure_future(alone.keep_lease())
         await until(lambda: alone.leases.lease_id is not None)
         first = alone.leases.lease_id
         _, expires_us = service.keys.leases[first]
@@ -203,9 +203,9 @@
         service.keys.end_lease(first)
         await until(lambda: alone.leases.lease_id != first)
         assert list(service.keys.leases) == [alone.leases.lease_id]
-        keeper.cancel()
+        lease_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await keeper
+            await lease_task
 
     asyncio.run(run())
 
