--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,5 +1,7 @@
-"""Final states in blocks: packed as they were, found in any tree, and moved there without a job being
-forgotten, changed or accepted again, whatever is lost, late or begun twice.
+"""Tests of the history of finished jobs: blocks, lookups, merges, and compaction.
+
+No job may be lost, changed or accepted again, although transactions are late or their answers are lost, and
+compactors are replaced while they work.
 """
 
 import random
@@ -36,25 +38,25 @@
     with_run,
 )
 
-DIGITS = st.text("0123456789", min_size=1, max_size=20)
-ENTRIES = st.dictionaries(DIGITS, st.tuples(st.booleans(), st.integers(0, 100_000)), max_size=60).map(
+JOB_DIGITS = st.text("0123456789", min_size=1, max_size=20)
+ENTRIES = st.dictionaries(JOB_DIGITS, st.tuples(st.booleans(), st.integers(0, 100_000)), max_size=60).map(
     lambda d: sorted(HistoryEntry(parse_job_number("req-" + k) or 0, c, n) for k, (c, n) in d.items())
 )
 
 
-@given(DIGITS)
-def test_an_id_is_found_again_with_its_leading_zeros(digits):
+@given(JOB_DIGITS)
+def test_a_job_id_round_trips_with_its_leading_zeros(digits):
     assert format_job_id(parse_job_number("req-" + digits)) == "req-" + digits
 
 
-def test_ids_of_another_kind_are_left_alone():
+def test_ids_of_another_form_have_no_number():
     for ref in ("lent-huye-4-7", "req-", "req-1a", "req-" + "1" * 21, "x", "req-\u0661"):
         assert parse_job_number(ref) is None
     assert parse_job_number("req-7") != parse_job_number("req-07")
 
 
 @given(ENTRIES, st.integers(40, 200))
-def test_blocks_hold_what_was_packed_and_no_more_than_their_limit(entries, most):
+def test_blocks_round_trip_and_respect_the_size_limit(entries, most):
     blocks = pack(entries, most)
     assert [e for b in blocks for e in unpack(b)] == entries
     assert all(len(b) <= most for b in blocks)
@@ -63,14 +65,14 @@
         assert any(find_entry(unpack(b), entry.number) == entry for b in blocks)
 
 
-def test_a_value_that_is_exactly_at_the_limit():
+def test_a_block_of_exactly_the_size_limit_is_not_split():
     entries = [HistoryEntry(parse_job_number(f"req-{n}"), False, 1) for n in range(1000, 3000)]
     whole = pack(entries, 10**6)[0]
     assert len(pack(entries, len(whole))) == 1 and len(pack(entries, len(whole) - 1)) == 2
 
 
 @given(ENTRIES.filter(bool), st.data())
-def test_a_damaged_block_is_refused_or_reads_as_another_and_raises_nothing_else(entries, data):
+def test_a_damaged_block_raises_only_bad_block_error(entries, data):
     block = bytearray(pack(entries, 10**6)[0])
     cut = data.draw(st.integers(0, len(block) - 1))
     for bad in (bytes(block[:cut]), b"9" + bytes(block[1:]), bytes(block) + b"~" * 12, b'"' + bytes(block)):
@@ -86,26 +88,26 @@
         pack([entries[0], entries[0]], 100)
 
 
-def run_of(name, level, entries, most=64):
+def build_run(name, level, entries, most=64):
     blocks = pack(entries, most)
     first_numbers = tuple(unpack(b)[0].number for b in blocks)
     return Run(name, level, len(entries), first_numbers), blocks
 
 
 @given(ENTRIES, st.integers(1, 12), st.booleans(), st.integers(0, 10**6))
-def test_any_tree_answers_as_a_table_would(entries, parts, filters, seed):
+def test_lookups_in_any_tree_match_a_table(entries, parts, filters, seed):
     rng = random.Random(seed)
-    some = [[] for _ in range(parts)]
+    parts_entries = [[] for _ in range(parts)]
     for entry in entries:
-        some[rng.randrange(parts)].append(entry)
+        parts_entries[rng.randrange(parts)].append(entry)
     by_bucket = {}
     blocks = {}
     history = History(max_cached_blocks=3)
-    for i, part in enumerate(some):
+    for i, part in enumerate(parts_entries):
         for bucket in range(BUCKETS):
             mine = [e for e in part if bucket_of(e.number) == bucket]
             if mine:
-                run, packed = run_of(f"r{i}", 0, mine)
+                run, packed = build_run(f"r{i}", 0, mine)
                 by_bucket[bucket] = with_run(by_bucket.get(bucket, Root()), run)
                 blocks |= {block_key(bucket, run.name, k): b for k, b in enumerate(packed)}
     for bucket, root in by_bucket.items():
@@ -140,51 +142,51 @@
             assert found == Absent(root_key(bucket), 5 if bucket in by_bucket else 0)
 
 
-def test_eight_runs_of_a_level_become_one_and_no_id_is_lost_on_the_way():
+def test_merging_eight_runs_of_a_level_keeps_every_id():
     entries = [
         HistoryEntry(parse_job_number(f"req-{n}"), n % 3 == 0, n) for n in range(1000, 1000 + FANOUT * 4)
     ]
     root, contents = Root(), {}
     for i in range(FANOUT):
         mine = entries[i::FANOUT]
-        run, _ = run_of(f"a{i}", 0, mine)
+        run, _ = build_run(f"a{i}", 0, mine)
         assert not runs_to_merge(root)
         root, contents[run.name] = with_run(root, run), mine
     old = runs_to_merge(root)
     assert [r.name for r in old] == [f"a{i}" for i in range(FANOUT)]
-    together = list(merge_entries([contents[r.name] for r in old]))
-    assert together == entries
-    big, _ = run_of("b", 1, together)
-    after = with_merged_run(root, old, big)
+    merged_entries = list(merge_entries([contents[r.name] for r in old]))
+    assert merged_entries == entries
+    merged_run, _ = build_run("b", 1, merged_entries)
+    after = with_merged_run(root, old, merged_run)
     assert after.count == root.count == len(entries) and [r.name for r in after.runs] == ["b"]
     with pytest.raises(ValueError, match="exactly"):
-        with_merged_run(root, old, run_of("c", 1, together[1:])[0])
+        with_merged_run(root, old, build_run("c", 1, merged_entries[1:])[0])
     with pytest.raises(ValueError, match="exactly"):
-        with_merged_run(after, old, big)
+        with_merged_run(after, old, merged_run)
     with pytest.raises(ValueError, match="two runs"):
         list(merge_entries([entries, entries[:1]]))
     assert candidate_blocks(after, 0) == []
 
 
-# -- the state service, nodes that accept, compactors that come and go ----------------------------------
+# -- model: the state service, nodes that accept jobs, compactors that are replaced --------------------
 
 
 class Store:
-    """Transactions with conditions; ``late`` ones were sent and may be applied at any later time."""
+    """A key-value store with conditional transactions; those in ``late`` may be applied at any later time."""
 
     def __init__(self):
         self.revision = 0
         self.keys = {}
         self.late = []
 
-    def stamp(self, key):
+    def version(self, key):
         return self.keys.get(key, (0, None))[0]
 
     def value(self, key, default=None):
         return self.keys.get(key, (0, default))[1]
 
     def apply(self, conditions, puts, deletes):
-        if any(self.stamp(key) != stamp for key, stamp in conditions.items()):
+        if any(self.version(key) != version for key, version in conditions.items()):
             return False
         self.revision += 1
         for key in deletes:
@@ -198,18 +200,22 @@
 
 
 class Service:
-    """What nodes and compactors do, against a reference that keeps everything."""
+    """Runs nodes and compactors, and compares their view with a reference that keeps every job."""
 
     IDS = [f"req-{n}" for n in (3, 44, 500)]
 
-    def __init__(self, seed, cond_root=True, cond_compactor=True, cond_link=True):
+    def __init__(self, seed, with_root_condition=True, with_fencing_condition=True, with_link_condition=True):
         self.rng = random.Random(seed)
         self.store = Store()
         self.accepted = {}
         self.final = {}
         self.compactors = []
-        self.cond_root, self.cond_compactor, self.cond_link = cond_root, cond_compactor, cond_link
-        # A node's knowledge of a moment: revision of what it has read, as a copy.
+        self.with_root_condition, self.with_fencing_condition, self.with_link_condition = (
+            with_root_condition,
+            with_fencing_condition,
+            with_link_condition,
+        )
+        # The keys that each node has read, as a copy that may be out of date.
         self.views = [dict(self.store.keys) for _ in range(2)]
 
     def entries(self, root, bucket, keys):
@@ -220,8 +226,8 @@
             for e in unpack(keys[block_key(bucket, run.name, k)][1])
         ]
 
-    def look(self, keys, ref):
-        """What a node that has read these keys knows of an id: its record, its final entry, or nothing."""
+    def visible_state(self, keys, ref):
+        """Return the state of a job according to these keys: from its record or its entry, else None."""
         if f"j/{ref}" in keys:
             return keys[f"j/{ref}"][1]
         number = parse_job_number(ref)
@@ -230,7 +236,7 @@
         try:
             found = find_entry(sorted(self.entries(root, bucket, keys)), number)
         except KeyError:
-            return "root is old"  # a block that was merged away: the root is read anew
+            return "root is old"  # the block was deleted after a merge: the node must read the root again
         return found.state if found is not None else None
 
     def follow(self, node):
@@ -238,11 +244,11 @@
 
     def accept(self, node, ref, mode):
         keys = self.views[node]
-        if self.look(keys, ref) is not None:
+        if self.visible_state(keys, ref) is not None:
             return
         key = root_key(bucket_of(parse_job_number(ref)))
         conditions = {f"j/{ref}": 0}
-        if self.cond_root:
+        if self.with_root_condition:
             conditions[key] = keys.get(key, (0, None))[0]
         self.send(conditions, {f"j/{ref}": "queued"}, (), mode, lambda: self.was_accepted(ref))
 
@@ -251,7 +257,7 @@
         self.accepted[ref] = True
 
     def send(self, conditions, puts, deletes, mode, then=lambda: None):
-        """``mode``: answered, lost on the way back, or late. True or False if the sender knows."""
+        """Send a transaction: answered, with a lost answer, or late; None if the outcome is unknown."""
         if mode == "late":
             self.store.late.append((conditions, puts, deletes, then))
             return None
@@ -267,66 +273,66 @@
                 then()
 
     def finish(self, ref, state):
-        stamp, value = self.store.keys.get(f"j/{ref}", (0, None))
+        version, value = self.store.keys.get(f"j/{ref}", (0, None))
         if value == "queued":
-            assert self.store.apply({f"j/{ref}": stamp}, {f"j/{ref}": state, f"p/0/{ref}/0": "x"}, ())
+            assert self.store.apply({f"j/{ref}": version}, {f"j/{ref}": state, f"p/0/{ref}/0": "x"}, ())
             self.final[ref] = state
 
     def take_over(self):
-        """A new compactor: it holds the key from now on, and knows what the records say."""
+        """Start a new compactor, which takes the compactor's key and starts from the records."""
         self.store.apply({}, {COMPACTOR: len(self.compactors)}, ())
-        stamp = self.store.stamp(COMPACTOR)
-        self.compactors.append([Compaction(b, stamp, 3, 40) for b in range(BUCKETS)])
+        version = self.store.version(COMPACTOR)
+        self.compactors.append([Compaction(b, version, 3, 40) for b in range(BUCKETS)])
 
-    def settled(self, bucket):
-        out = []
-        for key, (stamp, value) in self.store.keys.items():
+    def compactable_jobs(self, bucket):
+        jobs = []
+        for key, (version, value) in self.store.keys.items():
             ref = key[2:]
             if key.startswith("j/") and value != "queued" and bucket_of(parse_job_number(ref)) == bucket:
-                records = [(key, stamp)]
+                records = [(key, version)]
                 place = f"p/0/{ref}/0"
                 if place in self.store.keys:
-                    records.insert(0, (place, self.store.stamp(place)))
-                out.append(
+                    records.insert(0, (place, self.store.version(place)))
+                jobs.append(
                     CompactableJob(
                         HistoryEntry(parse_job_number(ref), value == JobState.CANCELLED, 1), tuple(records)
                     )
                 )
-        return out
+        return jobs
 
     def compact(self, which, bucket, mode, crash):
-        """One step of a compactor, be it the present one or one that does not know that it is over."""
+        """Run one step of a compactor: the current one or a former one that was not told of its end."""
         if not self.compactors:
             return
-        one = self.compactors[which % len(self.compactors)][bucket]
+        compaction = self.compactors[which % len(self.compactors)][bucket]
         root = self.store.root(bucket)
-        if one.state == IDLE:
-            there = {e.number for e in self.entries(root, bucket, self.store.keys)}
-            jobs = self.settled(bucket)
+        if compaction.state == IDLE:
+            compacted_numbers = {e.number for e in self.entries(root, bucket, self.store.keys)}
+            jobs = self.compactable_jobs(bucket)
             prefix = f"zb/{bucket}/"
-            one.begin_clear([j for j in jobs if j.final.number in there]) or one.begin_write(
-                [j for j in jobs if j.final.number not in there][:2]
-            ) or one.begin_sweep(root, [k for k in self.store.keys if k.startswith(prefix)])
-        step = one.step(root, self.store.stamp(root_key(bucket)))
+            compaction.begin_clear(
+                [j for j in jobs if j.final.number in compacted_numbers]
+            ) or compaction.begin_write(
+                [j for j in jobs if j.final.number not in compacted_numbers][:2]
+            ) or compaction.begin_sweep(root, [k for k in self.store.keys if k.startswith(prefix)])
+        step = compaction.step(root, self.store.version(root_key(bucket)))
         if step is None:
             return
         conditions = dict(step.conditions)
-        if not self.cond_compactor:
+        if not self.with_fencing_condition:
             conditions.pop(COMPACTOR, None)
-        if not self.cond_link and step.puts.keys() == {root_key(bucket)}:
+        if not self.with_link_condition and step.puts.keys() == {root_key(bucket)}:
             conditions.pop(root_key(bucket))
         done = self.send(conditions, step.puts, step.deletes, mode)
         if crash:
-            one.record_outcome(False)
+            compaction.record_outcome(False)
         else:
-            one.record_outcome(bool(done), done is not None)
+            compaction.record_outcome(bool(done), done is not None)
 
     def check(self):
-        """Any node that reads now, with any of the views, tells the same as the reference, or older where it
-        says so by its conditions.
-        """
+        """Check that the stored keys give the same state of each job as the reference."""
         for ref in self.IDS:
-            known = self.look(self.store.keys, ref)
+            known = self.visible_state(self.store.keys, ref)
             if ref in self.final:
                 assert known == self.final[ref], f"{ref} was {self.final[ref]}, now {known}"
             elif ref in self.accepted:
@@ -336,7 +342,7 @@
 
 
 BUCKETS_USED = sorted({bucket_of(parse_job_number(ref) or 0) for ref in Service.IDS})
-EVENTS = st.tuples(
+EVENT = st.tuples(
     st.sampled_from(["accept", "accept", "finish", "follow", "take over", "deliver"] + ["compact"] * 8),
     st.integers(0, 11),
     st.sampled_from(["ok", "ok", "ok", "lost", "late"]),
@@ -344,7 +350,7 @@
 )
 
 
-def play(service, events):
+def run_events(service, events):
     for what, pick, mode, flag in events:
         ref = service.IDS[pick % 3]
         if what == "accept":
@@ -364,12 +370,12 @@
 
 
 @settings(max_examples=400, deadline=None)
-@given(st.lists(EVENTS, max_size=70))
+@given(st.lists(EVENT, max_size=70))
 def test_no_job_is_forgotten_changed_invented_or_accepted_twice(events):
     service = Service(0)
     service.take_over()
-    play(service, events)
-    # Then a compactor that nobody disturbs brings everything in, and nothing else is left.
+    run_events(service, events)
+    # Then an undisturbed compactor moves all finished jobs, and no other key is left.
     service.take_over()
     for _ in range(60):
         for bucket in BUCKETS_USED:
@@ -387,13 +393,11 @@
         assert root.count == len(service.entries(root, bucket, service.store.keys))
 
 
-SHARED = 3
+SHARED_BUCKET = 3
 
 
-def late_acceptance(**without):
-    """Two nodes are asked to accept the same job; one's transaction arrives after the job has gone to its
-    block.
-    """
+def apply_late_acceptance(**without):
+    """Two nodes accept the same job; the transaction of one arrives after the job was compacted."""
     service = Service(0, **without)
     ref = service.IDS[0]
     bucket = bucket_of(parse_job_number(ref))
@@ -410,14 +414,14 @@
     service.check()
 
 
-def test_a_late_acceptance_of_a_job_that_has_left_its_record_fails():
-    late_acceptance()
+def test_a_late_acceptance_of_a_compacted_job_fails():
+    apply_late_acceptance()
     with pytest.raises(AssertionError, match="accepted twice"):
-        late_acceptance(cond_root=False)
+        apply_late_acceptance(with_root_condition=False)
 
 
-def rivals(**without):
-    """A compactor that does not know that it is over sweeps what its successor has just written."""
+def run_former_compactor(**without):
+    """A former compactor, not told of its end, sweeps blocks that its successor has just written."""
     service = Service(0, **without)
     ref = service.IDS[0]
     bucket = bucket_of(parse_job_number(ref))
@@ -426,84 +430,82 @@
     service.accept(0, ref, "ok")
     service.finish(ref, JobState.DONE)
     service.take_over()
-    service.compact(1, bucket, "ok", False)  # its blocks are there, the root does not name them yet
+    service.compact(1, bucket, "ok", False)  # writes its blocks, which the root does not reference yet
     old = service.compactors[0][bucket]
     assert old.begin_sweep(Root(), [k for k in service.store.keys if k.startswith("zb/")])
     service.compact(0, bucket, "ok", False)
     for _ in range(3):
-        service.compact(1, bucket, "ok", False)  # the root, and the job's records go
+        service.compact(1, bucket, "ok", False)  # puts the root, then deletes the job's records
     service.check()
     assert f"j/{ref}" not in service.store.keys
 
 
-def test_a_former_compactor_does_no_harm():
-    rivals()
+def test_a_former_compactor_cannot_delete_blocks_of_its_successor():
+    run_former_compactor()
     with pytest.raises((AssertionError, KeyError)):
-        rivals(cond_compactor=False)
+        run_former_compactor(with_fencing_condition=False)
 
 
-def late_root(**without):
-    """A root whose answer never came is written by the state service only after the next one: it was made
-    from what was there before.
-    """
+def apply_late_root(**without):
+    """The transaction of a root, made from an older root, arrives after that of the next root."""
     service = Service(0, **without)
     service.take_over()
     service.follow(0)
-    first, second = (ref for ref in service.IDS if bucket_of(parse_job_number(ref)) == SHARED)
+    first, second = (ref for ref in service.IDS if bucket_of(parse_job_number(ref)) == SHARED_BUCKET)
     for ref in (first, second):
         service.accept(0, ref, "ok")
     service.finish(first, JobState.DONE)
     for mode in ("ok", "late"):
-        service.compact(0, SHARED, mode, False)  # blocks, and the root that is late
+        service.compact(0, SHARED_BUCKET, mode, False)  # blocks, and the root that is late
     service.finish(second, JobState.CANCELLED)
     for _ in range(9):
-        service.compact(0, SHARED, "ok", False)
+        service.compact(0, SHARED_BUCKET, "ok", False)
         service.check()
     assert not [k for k in service.store.keys if k.startswith("j/")]
     service.deliver(0)
     service.check()
 
 
-def test_a_root_that_comes_late_does_not_take_the_place_of_a_later_one(monkeypatch):
-    ids = [f"req-{n}" for n in range(100) if bucket_of(parse_job_number(f"req-{n}")) == SHARED][:2]
+def test_a_late_root_does_not_replace_a_newer_one(monkeypatch):
+    ids = [f"req-{n}" for n in range(100) if bucket_of(parse_job_number(f"req-{n}")) == SHARED_BUCKET][:2]
     monkeypatch.setattr(Service, "IDS", ids)
-    late_root()
+    apply_late_root()
     with pytest.raises(AssertionError, match="was"):
-        late_root(cond_link=False)
+        apply_late_root(with_link_condition=False)
 
 
-def test_a_compaction_gives_up_a_merge_when_the_root_is_another():
-    one = Compaction(0, 9, 3, 40)
+def test_a_merge_is_abandoned_if_the_root_has_changed():
+    compaction = Compaction(0, 9, 3, 40)
     entries = [[HistoryEntry(parse_job_number(f"req-{n}"), False, 1)] for n in range(FANOUT)]
     root = Root()
     for i, mine in enumerate(entries):
-        root = with_run(root, run_of(f"a{i}", 0, mine)[0])
+        root = with_run(root, build_run(f"a{i}", 0, mine)[0])
     contents = {f"a{i}": mine for i, mine in enumerate(entries)}
-    assert not one.begin_merge(root, {}) and one.begin_merge(root, contents)
-    while one.state == "merging":
-        assert one.step(root, 4).conditions == {COMPACTOR: 9}
-        one.record_outcome(True)
-    assert one.step(Root(), 5) is None and one.state == IDLE
-    assert one.begin_merge(root, contents)
-    while one.state == "merging":
-        one.step(root, 4)
-        one.record_outcome(True)
-    step = one.step(root, 4)
+    assert not compaction.begin_merge(root, {}) and compaction.begin_merge(root, contents)
+    while compaction.state == "merging":
+        assert compaction.step(root, 4).conditions == {COMPACTOR: 9}
+        compaction.record_outcome(True)
+    assert compaction.step(Root(), 5) is None and compaction.state == IDLE
+    assert compaction.begin_merge(root, contents)
+    while compaction.state == "merging":
+        compaction.step(root, 4)
+        compaction.record_outcome(True)
+    step = compaction.step(root, 4)
     assert step.conditions == {COMPACTOR: 9, "hr/0": 4} and step.puts["hr/0"].count == FANOUT
-    one.record_outcome(True)
+    compaction.record_outcome(True)
     gone = set()
-    while one.state == "sweeping":
-        gone |= set(one.step(step.puts["hr/0"], 5).deletes)
-        one.record_outcome(True)
+    while compaction.state == "sweeping":
+        gone |= set(compaction.step(step.puts["hr/0"], 5).deletes)
+        compaction.record_outcome(True)
     assert gone == {f"zb/0/a{i}/0" for i in range(FANOUT)}
 
 
-def test_a_question_with_more_blocks_than_are_kept_comes_to_its_end():
-    # Seen: with more runs without a filter than blocks kept, each read put out the one that was read before.
+def test_a_lookup_that_needs_more_blocks_than_are_cached_ends():
+    # Seen: with more runs without a filter than cached blocks, each read evicted the block read before it.
     numbers = [n for n in (parse_job_number(f"req-{i}") for i in range(10**4)) if bucket_of(n) == 2][:12]
     root, blocks = Root(), {}
     for i, number in enumerate(numbers[:10]):
-        run, packed = run_of(f"r{i}", 0, [HistoryEntry(number, False, 1)])
+        run, packed = build_run(f"r{i}", 0, [HistoryEntry(number, False, 1)])
         root = with_run(root, run)
         blocks[block_key(2, run.name, 0)] = packed[0]
     history = History(max_cached_blocks=3)
--- a/tests/test_history_states.py
+++ b/tests/test_history_states.py
@@ -1,4 +1,4 @@
-"""All states of a small history (`measurements.history_states`), and of variants with one guard less."""
+"""Explores all states of a small history (`measurements.history_states`), and variants without one guard."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize("bounds", [Bounds(1, 2, 1), Bounds(2, 1, 0), Bounds(1, 3, 1)])
-def test_no_state_forgets_invents_or_accepts_a_job_twice(bounds):
+def test_no_state_loses_invents_or_accepts_a_job_twice(bounds):
     states, compacted, wrong = explore(bounds)
     print(f"[history, {bounds}: {states} states]", end=" ")
     assert wrong == "" and states > 1000 and compacted > states / 2
@@ -16,5 +16,5 @@
     ("without", "expected"),
     [(FENCE, "two runs"), (CONDITION, "accepted twice"), (COMPACTED, "two runs")],
 )
-def test_a_guard_less_is_noticed(without, expected):
+def test_exploration_detects_a_missing_guard(without, expected):
     assert expected in explore(Bounds(1, 2, 1, without))[2]
--- a/tests/test_state_compact.py
+++ b/tests/test_state_compact.py
@@ -1,4 +1,4 @@
-"""`pearstep state compact`: compaction without a controller, against the emulated state service in memory."""
+"""Tests of `pearstep state compact`: compaction without a controller, against the emulated state service."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class Service:
-    """The emulated state service with records that controllers have left there."""
+    """The emulated state service with records that controllers have written."""
 
     def __init__(self):
         self.service = StateService(None, 10_000.0, 10_000.0, 16.0, 16)
@@ -51,7 +51,7 @@
             self.put({f"part/{shard_id}": LeaseHolderRecord(f"n{shard_id}", node_version)})
 
     def add_finished_jobs(self, count, routed=True):
-        """Every third is cancelled with one of two tasks done; ``routed``: with route and placement."""
+        """Add jobs of two tasks, every third cancelled after one; ``routed`` adds routes and placements."""
         for number in range(count):
             job_id, cancelled = f"req-{number * 7919 + 1}", number % 3 == 0
             ended = JobState.CANCELLED if cancelled else JobState.DONE
@@ -68,24 +68,24 @@
         return verify([(key, raw) for key, (_, raw, _) in self.keys.keys.items()])
 
 
-def run_compact(service, patience_s=30.0, limits=LIMITS, keep=1, prepare=lambda alone: None):
+def run_compact(service, patience_s=30.0, limits=LIMITS, keep=1, prepare=lambda host: None):
     async def run():
         service.listen()
-        alone = CommandHost(Client(10), service.address, SHARDS, limits)
-        prepare(alone)
+        host = CommandHost(Client(10), service.address, SHARDS, limits)
+        prepare(host)
         settings = HistorySettings(rest_s=1, keep=keep, batch=1, share=1.0, step_s=0.001)
-        return await asyncio.wait_for(compact(alone, settings, patience_s), 60)
+        return await asyncio.wait_for(compact(host, settings, patience_s), 60)
 
     return asyncio.run(run())
 
 
 @pytest.fixture(autouse=True)
 def no_idle_wait(monkeypatch):
-    """An idle compactor releases its key at once."""
+    """Make an idle compactor release its key at once."""
     monkeypatch.setattr(extension, "WORK_CHECK_INTERVAL_US", 1000)
 
 
-def test_all_finished_jobs_but_those_to_keep_move_to_the_history():
+def test_all_finished_jobs_except_those_to_keep_move_to_the_history():
     service = Service()
     service.add_controllers()
     service.add_finished_jobs(15)
@@ -121,10 +121,10 @@
 
     async def run():
         service.listen()
-        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
+        host = CommandHost(Client(10), service.address, SHARDS, LIMITS)
         settings = HistorySettings(rest_s=1, keep=1, batch=1, share=1.0, step_s=0.001)
-        assert await compact(alone, settings) == (9, "")
-        return [await alone.job_api.history.find(f"req-{number * 7919 + 1}") for number in range(9)]
+        assert await compact(host, settings) == (9, "")
+        return [await host.job_api.history.find(f"req-{number * 7919 + 1}") for number in range(9)]
 
     found = asyncio.run(run())
     assert [(job.state, job.done) for job in found] == [
@@ -132,7 +132,7 @@
     ]
 
 
-def test_a_key_that_a_controller_holds_is_left_alone():
+def test_compaction_does_not_take_the_key_of_a_controller():
     service = Service()
     service.add_controllers()
     service.add_finished_jobs(4)
@@ -162,10 +162,10 @@
     assert len(service.starting_with("j/")) == 4
 
 
-def test_a_state_service_that_takes_no_block_stops_compaction():
+def test_a_state_service_that_rejects_every_block_stops_compaction():
     service = Service()
     service.add_controllers()
-    # Enough jobs for a block in each bucket that is larger than the service takes from now on.
+    # Enough jobs for a block in each bucket that exceeds the size limit set below.
     service.add_finished_jobs(900, routed=False)
     service.keys.value_bytes = 100
     assert run_compact(service) == (0, "the state service takes no step of it: see the log")
@@ -173,17 +173,17 @@
     assert not service.starting_with("hr/", "zb/")
 
 
-def test_a_state_service_that_is_away_is_said():
+def test_an_unavailable_state_service_is_reported():
     service = Service()
 
     async def run():
-        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
-        return await compact(alone, HistorySettings())
+        host = CommandHost(Client(10), service.address, SHARDS, LIMITS)
+        return await compact(host, HistorySettings())
 
     assert asyncio.run(asyncio.wait_for(run(), 60)) == (0, "the state service does not answer")
 
 
-def test_a_lease_is_renewed_and_replaced_when_it_is_over(monkeypatch):
+def test_a_lease_is_renewed_and_replaced_when_it_has_ended(monkeypatch):
     service = Service()
     monkeypatch.setattr(standalone, "LEASE_MS", 200)
 
@@ -194,15 +194,15 @@
 
     async def run():
         service.listen()
-        alone = CommandHost(Client(10), service.address, SHARDS, LIMITS)
-        lease_task = asyncio.ensure_future(alone.keep_lease())
-        await until(lambda: alone.leases.lease_id is not None)
-        first = alone.leases.lease_id
+        host = CommandHost(Client(10), service.address, SHARDS, LIMITS)
+        lease_task = asyncio.ensure_future(host.keep_lease())
+        await until(lambda: host.leases.lease_id is not None)
+        first = host.leases.lease_id
         _, expires_us = service.keys.leases[first]
         await until(lambda: service.keys.leases[first][1] > expires_us)
         service.keys.end_lease(first)
-        await until(lambda: alone.leases.lease_id != first)
-        assert list(service.keys.leases) == [alone.leases.lease_id]
+        await until(lambda: host.leases.lease_id != first)
+        assert list(service.keys.leases) == [host.leases.lease_id]
         lease_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await lease_task
@@ -212,7 +212,7 @@
 
 @contextlib.contextmanager
 def in_thread(service):
-    """The service in a loop of its own, as a command runs one itself."""
+    """Run the service in an event loop of its own, since a command runs its own loop."""
     loop, listening = asyncio.new_event_loop(), threading.Event()
 
     def serve():
@@ -236,7 +236,7 @@
         assert not thread.is_alive()
 
 
-def test_the_command_says_how_many_jobs_have_left_and_exits_with_0():
+def test_the_command_reports_the_number_of_compacted_jobs_and_exits_with_0():
     service = Service()
     service.add_controllers()
     service.add_finished_jobs(6)
@@ -247,7 +247,7 @@
     assert service.report().finished == 4
 
 
-def test_the_command_exits_with_1_if_something_stands_against_it():
+def test_the_command_exits_with_1_if_compaction_is_not_possible():
     service = Service()
     service.add_controllers()
     service.put({"hr/4": "no root"})
@@ -259,6 +259,6 @@
     assert "hr/4 is damaged" in result.output
 
 
-def test_the_command_asks_for_the_number_of_controllers():
+def test_the_command_requires_the_number_of_controllers():
     result = CliRunner().invoke(state_command, ["compact", "--state", "127.0.0.1:1"])
     assert result.exit_code == 2 and "--parts" in result.output
