--- a/tests/test_compacting.py
+++ b/tests/test_compacting.py
@@ -411,7 +411,7 @@
 
             async def find_without_conditions(ref):
                 answer = await find_job(ref)
-                return {} if isinstance(answer, dict) else stored
+                return {} if isinstance(answer, dict) else answer
 
             nodes[1].job_api.history = SimpleNamespace(find=find_without_conditions)
         body = msgspec.json.encode({**JOB, "ref": REFS[0]})
