--- a/pearstep/controller/cancellation_exchange.py
+++ b/pearstep/controller/cancellation_exchange.py
@@ -16,7 +16,7 @@
 
 
 class CancellationExchange:
-    """Keeps the replica's cancellations fresh while the state service cannot be read."""
+    """Keeps the replica's cancellations up to date while the state service cannot be read."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
             replica: This node's replica.
             follower: Applies committed records to it.
             peers: The other controllers.
-            staleness_bound: Records which peers have vouched for their cancellations.
+            staleness_bound: Records which peers have reported all their cancellations.
             now_us: The monotonic clock.
         """
         self._replica = replica
@@ -41,20 +41,20 @@
         self._staleness_bound = staleness_bound
         self._now_us = now_us
 
-    def list_into(self, status: PeerStatus, after: int) -> None:
-        """List the cancellations beyond a revision in the answer to a peer."""
+    def add_cancellations(self, status: PeerStatus, after: int) -> None:
+        """Add the cancellations after a revision to the answer to a peer."""
         cancelled = self._replica.cancelled_after(after)
         listed = cancelled[:MAX_CANCELLATIONS_PER_ANSWER]
         status.cancelled = [CancelledJob(*entry) for entry in listed]
         status.more = len(cancelled) > MAX_CANCELLATIONS_PER_ANSWER
 
     async def apply_peer_answer(self, peer: PeerStatus, after: int, sent_us: int) -> None:
-        """Apply the cancellations that a peer may confirm to users, asking for further pages of them.
+        """Apply the cancellations that a peer may confirm to users, and request the remaining pages of them.
 
         Args:
             peer: The first page.
-            after: The revision from which on it was asked for.
-            sent_us: When it was asked for.
+            after: The revision after which cancellations were requested.
+            sent_us: When the first page was requested.
         """
         page: PeerStatus | None = peer
         while page is not None and page.cancelled is not None:
@@ -68,7 +68,7 @@
     def apply(self, cancelled: Sequence[CancelledJob]) -> None:
         """Apply cancellations that a peer has committed.
 
-        A job that is not in the replica is left out: this node has never placed any task of it.
+        Jobs that are not in the replica are skipped: this node has never placed a task of them.
         """
         for job_id, version, ended_at_us in cancelled:
             job = self._replica.jobs.get(job_id)
--- a/pearstep/controller/health_monitor.py
+++ b/pearstep/controller/health_monitor.py
@@ -103,7 +103,7 @@
             misdirected_by_shard=misdirected,
         )
         if query.after is not None:
-            self.cancellations.list_into(status, query.after)
+            self.cancellations.add_cancellations(status, query.after)
             status.uptime_us = None if loaded else self.now_us() - self._started_us
         return status
 
--- a/pearstep/controller/job_cancellation.py
+++ b/pearstep/controller/job_cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels jobs for users: a race with the job's end is decided by the transaction."""
+"""Cancels jobs for users. A transaction decides the race between a cancellation and the job's end."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 log = EventLogger("pearstep.job_api")
 
-# How often a cancellation is decided anew because the job's record changed meanwhile.
-MAX_ATTEMPTS = 4
+# Attempts to cancel a job whose record keeps changing concurrently.
+MAX_CANCELLATION_ATTEMPTS = 4
 
 BroadcastCancellation = Callable[[str, int, int], Awaitable[bool]]
 BeforeCancellation = Callable[[Job], Awaitable[dict[str, int] | None]]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobFinal:
-    """The job has ended, or is cancelled; its state."""
+    """The final state of a job that has ended or is cancelled."""
 
     state: str
 
@@ -49,7 +49,7 @@
 
 
 class JobCanceller:
-    """Writes cancellations, and tells the other controllers of them before the user."""
+    """Writes cancellations, and notifies the other controllers of them before the user."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         apply: Callable[[str, int, object], None],
         wall_us: Callable[[], int],
     ) -> None:
-        """Write to ``kv``; ``apply`` takes a committed record (key, revision, record) into the replica."""
+        """Write to ``kv``; ``apply`` applies a committed record (key, revision, record) to the replica."""
         self._kv = kv
         self._lookup = lookup
         self._replica = lookup.replica
@@ -66,12 +66,12 @@
         self._wall_us = wall_us
         # Returns preconditions under which a cancellation may be written now, or None if it must wait.
         self.before_cancellation: BeforeCancellation | None = None
-        # Tells the other controllers of a cancellation; None: there are none.
+        # Sends a cancellation to the other controllers; None if there are none.
         self.broadcast_cancellation: BroadcastCancellation | None = None
 
     async def cancel(self, job_id: str) -> CancellationResult:
         """Cancel a job, unless it has ended."""
-        for _ in range(MAX_ATTEMPTS):
+        for _ in range(MAX_CANCELLATION_ATTEMPTS):
             found = await self._lookup.find(job_id)
             if isinstance(found, JobUnknown):
                 return CancellationRefusal.STATE_UNKNOWN
@@ -96,10 +96,10 @@
             return CancellationRefusal.OFFLOADS_UNREAD
         preconditions = {f"j/{job.spec.job_id}": job.version}
         if self.before_cancellation is not None:
-            more = await self.before_cancellation(job)
-            if more is None:
+            hook_preconditions = await self.before_cancellation(job)
+            if hook_preconditions is None:
                 return CancellationRefusal.OFFLOADED
-            preconditions |= more
+            preconditions |= hook_preconditions
         return preconditions
 
     async def _on_committed(self, record: JobRecord, result: CommitResult) -> CancellationResult:
@@ -111,8 +111,8 @@
             job.cancellation_acknowledged = await self.broadcast_cancellation(
                 job_id, result.revision, record.ended_at_us
             )
-            hidden_us = min(self._lookup.hidden_for_us(job), CANCELLATION_BROADCAST_US)
-            await asyncio.sleep(max(hidden_us, 0) / SECOND_US)
+            wait_us = min(self._lookup.time_until_visible_us(job), CANCELLATION_BROADCAST_US)
+            await asyncio.sleep(max(wait_us, 0) / SECOND_US)
         if not self._lookup.is_visible(job):
             return CancellationRefusal.NOT_VISIBLE_YET
         return JobFinal(JobState.CANCELLED)
--- a/pearstep/controller/job_lookup.py
+++ b/pearstep/controller/job_lookup.py
@@ -1,4 +1,4 @@
-"""Looks up jobs for users: what is certain about a job id now, and whether users may be told of it."""
+"""Looks up jobs for users: what is certain about a job id now, and whether it may be reported to users."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobUnknown:
-    """Whether the job exists, or its state, can't be told now."""
+    """It cannot be determined now whether the job exists, or which state it has."""
 
 
 JobLookupResult = JobFound | JobAbsent | JobUnknown
@@ -39,28 +39,28 @@
 
 
 class JobLookup:
-    """Finds jobs by their ids, in a replica that is current enough and in the history."""
+    """Finds jobs by their ids, in an up-to-date replica and in the history."""
 
     def __init__(
         self, kv: KeyValueStore, replica: Replica, read_barrier: Callable[[], Awaitable[bool]]
     ) -> None:
-        """Look up in a replica, made current by ``read_barrier``, which tells whether it succeeded."""
+        """Look up jobs in ``replica``; ``read_barrier`` updates it and returns whether that succeeded."""
         self.kv = kv
         self.replica = replica
         self.read_barrier = read_barrier
         # Whether the replica is loaded and this controller may answer users.
         self.ready = False
-        # Of jobs that have left their records.
+        # Finds finished jobs whose records were moved to the history.
         self.history: FinishedJobs | None = None
-        # How long a cancellation is known here before users are told.
+        # The time from when this node learns of a cancellation until users are told.
         self.cancellation_delay_us = 0
-        # Whether there are other controllers, which have to learn of a cancellation first.
+        # Whether there are other controllers, which have to be notified of a cancellation before users.
         self.has_peers = False
 
     async def find(self, job_id: str) -> JobLookupResult:
-        """Find a job by a replica that is current enough to be told.
+        """Find a job in an up-to-date replica.
 
-        Final states never change and may be told from memory.
+        Final states never change, so they are reported without a read barrier.
         """
         job = self.replica.jobs.get(job_id)
         if job is not None and job.is_final:
@@ -70,8 +70,8 @@
             finished = await self.find_finished(job_id)
         if isinstance(finished, JobFound):
             return finished
-        # Seen with a state service that was silent to one controller: polls waited for reads that could
-        # not end well, until their users gave up on them.
+        # Seen while the state service did not answer one controller: polls waited for reads that could not
+        # succeed, until the users' requests timed out.
         if not self.ready or self.kv.is_unavailable() or not await self.read_barrier():
             return _UNKNOWN
         job = self.replica.jobs.get(job_id)
@@ -82,7 +82,7 @@
         return await self.find_finished(job_id)
 
     async def find_finished(self, job_id: str) -> JobLookupResult:
-        """Find an id that has no record: how the job ended, or the preconditions under which it is new."""
+        """Look up an id that has no record: how the job ended, or the preconditions under which it is new."""
         if self.history is None:
             return _UNKNOWN if self.replica.has_unread_history else JobAbsent({})
         found = await self.history.find(job_id)
@@ -91,21 +91,21 @@
         return JobFound(found) if isinstance(found, FinishedJob) else JobAbsent(found)
 
     def is_current(self, preconditions: dict[str, int]) -> bool:
-        """Tell whether nothing newer is known where an id was looked for."""
+        """Return whether the replica has no newer versions of the keys that a lookup depended on."""
         return all(self.replica.version_of(key) <= version for key, version in preconditions.items())
 
     def is_visible(self, job: Job) -> bool:
-        """Tell whether users may hear what is known of a job."""
-        return self.hidden_for_us(job) <= 0
+        """Return whether the state of a job may be reported to users."""
+        return self.time_until_visible_us(job) <= 0
 
-    def hidden_for_us(self, job: Job) -> int:
-        """Return for how much longer users may not hear of a cancellation, in microseconds.
+    def time_until_visible_us(self, job: Job) -> int:
+        """Return the time until a cancellation may be reported to users, in microseconds.
 
-        Shard owners have to know of it first, or they send a start once its user was told that nothing
-        starts any more. Seen with slow answers, in simulation: a placement's answer came 0.2 s after its
-        job was cancelled through another controller. So each controller has to acknowledge it, or has some
-        time to. Where the time that tasks of a cancelled job may stay is hardly longer than the agents'
-        lease, it has more.
+        Shard owners must learn of it first; otherwise one could send a start after the user was told that
+        nothing starts any more. Seen in simulation with slow answers: a placement's answer came 0.2 s after
+        its job was cancelled through another controller. So users are told once each controller has
+        acknowledged the cancellation or has had some time to learn of it. That time is longer where tasks
+        of a cancelled job may run for hardly longer than the agents' lease.
         """
         if job.state != JobState.CANCELLED:
             return 0
--- a/pearstep/controller/job_submission.py
+++ b/pearstep/controller/job_submission.py
@@ -1,4 +1,4 @@
-"""Group commit of submissions: what arrives while transactions are under way goes with the next one."""
+"""Group commit of submissions: those that arrive while transactions are in flight share the next one."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 log = EventLogger("pearstep.job_api")
 
-# Transactions with submissions that may be under way at the same time.
+# Maximum number of submission transactions in flight.
 MAX_CONCURRENT_COMMITS = 4
-# What a job's record may grow by until its end.
+# Allowance for the growth of a job's record until the job ends.
 RECORD_GROWTH_BYTES = 128
 
 
@@ -30,24 +30,24 @@
     """How the commit of a submission ended."""
 
     ACCEPTED = "accepted"
-    # The job id has a record already.
+    # There is already a record for the job id.
     CONFLICT = "conflict"
-    # Something was written meanwhile where the id was looked for: look again.
+    # A key that the lookup of the id depends on has changed since: the lookup must be repeated.
     STALE = "stale"
-    # Its record is larger than a value may be.
+    # The job's record is larger than a value may be.
     TOO_LARGE = "too large"
-    # Not written, or not known to be written: the user has to come back.
+    # Not written, or the outcome is unknown: the user has to retry.
     FAILED = "failed"
 
 
 @dataclass(eq=False, slots=True)
 class PendingSubmission:
-    """A submission that waits for a transaction. ``preconditions``: under which it is known to be new."""
+    """A submission that waits for a transaction; the job is new if ``preconditions`` hold."""
 
     spec: JobSpec
     preconditions: dict[str, int]
     answer: asyncio.Future[SubmissionOutcome]
-    # Written in a transaction of its own: it was in one that was malformed.
+    # Whether it needs a transaction of its own, because one that it shared was rejected as malformed.
     alone: bool = False
 
     @property
@@ -56,34 +56,34 @@
         return f"j/{self.spec.job_id}"
 
     def settle(self, outcome: SubmissionOutcome) -> None:
-        """Answer whoever waits, once."""
+        """Report the outcome to the waiting request; later calls have no effect."""
         if not self.answer.done():
             self.answer.set_result(outcome)
 
 
 @dataclass(slots=True)
 class _SubmissionGroup:
-    """Submissions that go with one transaction, and their records by key."""
+    """Submissions that are written in one transaction, and their records by key."""
 
     size: TransactionSize
     submissions: list[PendingSubmission] = field(default_factory=list)
     records: dict[str, JobRecord] = field(default_factory=dict)
 
     def preconditions(self) -> dict[str, int]:
-        """Collect the versions that keys must have: each job is new."""
+        """Collect the versions that keys must have for each job to be new."""
         preconditions = dict.fromkeys(self.records, 0)
         for submission in self.submissions:
             preconditions.update(submission.preconditions)
         return preconditions
 
     def settle(self, outcome: SubmissionOutcome) -> None:
-        """Answer all of them alike."""
+        """Report the same outcome to all submissions of the group."""
         for submission in self.submissions:
             submission.settle(outcome)
 
 
 class SubmissionQueue:
-    """Writes submissions in groups. A transaction answered late holds up its own submissions alone."""
+    """Writes submissions in groups. A slow transaction delays only its own submissions."""
 
     def __init__(
         self,
@@ -99,11 +99,11 @@
 
         Args:
             kv: The store.
-            limits: What a transaction may hold.
-            apply: Takes a committed record into the replica: key, revision, record.
+            limits: The limits of a transaction.
+            apply: Applies a committed record to the replica: key, revision, record.
             wall_us: The time of day in microseconds.
-            is_current: Whether nothing newer is known than some preconditions.
-            direct_shard: The shard that may place a job without the leader.
+            is_current: Returns whether the replica has no newer versions of the keys of some preconditions.
+            direct_shard: Returns the shard that may place a job without the leader, or None.
         """
         self._kv = kv
         self._limits = limits
@@ -116,7 +116,7 @@
         self._tasks = BackgroundTasks(log)
 
     async def submit(self, spec: JobSpec, preconditions: dict[str, int]) -> SubmissionOutcome:
-        """Write a job that is new under the preconditions, and wait for the outcome."""
+        """Write a job that is new if the preconditions hold, and wait for the outcome."""
         answer: asyncio.Future[SubmissionOutcome] = asyncio.get_running_loop().create_future()
         self._queue.append(PendingSubmission(spec, preconditions, answer))
         if self._writers < MAX_CONCURRENT_COMMITS:
@@ -125,7 +125,7 @@
         return await answer
 
     async def _write_queued(self) -> None:
-        """Write groups until nothing is queued; a group that fails is answered, and the next one written."""
+        """Write groups until the queue is empty. The submissions of a group that raises fail."""
         try:
             while self._queue:
                 group = self._next_group()
@@ -158,7 +158,7 @@
             group.settle(SubmissionOutcome.FAILED)
 
     def _settle_conflict(self, group: _SubmissionGroup, result: CommitResult) -> None:
-        """Answer those that were in conflict; the others are written again."""
+        """Report the conflict to the submissions that it concerns, and queue the others again."""
         failed = set(result.failed)
         for submission in group.submissions:
             if not failed or submission.key in failed:
@@ -169,24 +169,24 @@
                 self._queue.append(submission)
 
     def _next_group(self) -> _SubmissionGroup:
-        """Take as many submissions off the queue as fit one transaction."""
+        """Take as many submissions off the queue as fit in one transaction."""
         group = _SubmissionGroup(TransactionSize(self._limits))
         while self._queue:
             submission = self._queue.popleft()
             try:
-                taken = self._try_take(group, submission)
+                handled = self._try_add(group, submission)
             except Exception:
-                # Whoever waits is answered, and the rest of the queue goes on.
+                # Only this submission fails; the rest of the queue is still processed.
                 log.exception("submission not prepared", job=submission.spec.job_id)
                 submission.settle(SubmissionOutcome.FAILED)
                 continue
-            if not taken:
+            if not handled:
                 self._queue.appendleft(submission)
                 break
         return group
 
-    def _try_take(self, group: _SubmissionGroup, submission: PendingSubmission) -> bool:
-        """Add a submission to the group or answer it; return False if it has to wait for the next group."""
+    def _try_add(self, group: _SubmissionGroup, submission: PendingSubmission) -> bool:
+        """Add a submission to the group or settle it; return False if it has to wait for the next group."""
         if not self._is_still_new(submission):
             return True
         if group.submissions and (submission.alone or group.submissions[0].alone):
@@ -206,10 +206,10 @@
         return True
 
     def _is_still_new(self, submission: PendingSubmission) -> bool:
-        """Tell whether somebody waits for it, and nothing was written where it was not found.
+        """Return whether a submission still waits for its outcome and the keys of its lookup are unchanged.
 
-        With one that looked before, and one that looked after, a transaction could meet the preconditions
-        of neither.
+        Otherwise a transaction could combine submissions that were looked up before and after a change, whose
+        preconditions cannot both hold.
         """
         if not self._is_current(submission.preconditions):
             submission.settle(SubmissionOutcome.STALE)
