--- a/pearstep/controller/cancellation_exchange.py
+++ b/pearstep/controller/cancellation_exchange.py
@@ -63,7 +63,7 @@
             if not page.more:
                 self._staleness_bound.record_peer_answer(peer.node, sent_us, self._now_us(), page.uptime_us)
                 return
-            page = await self._peers.query(peer.node, PeerQuery(workers=False, after=after))
+            page = await self._peers.query(peer.node, PeerQuery(count_misdirected=False, after=after))
 
     def apply(self, cancelled: Sequence[CancelledJob]) -> None:
         """Apply cancellations that a peer has committed.
--- a/pearstep/controller/cloud_client.py
+++ b/pearstep/controller/cloud_client.py
@@ -22,25 +22,25 @@
 
 MAX_TRIES = 4
 TIMEOUT_S = 8.0
-# Of an answer so many bytes are logged.
+# Maximum number of bytes of an answer in a log line.
 LOGGED_BYTES = 200
 
 
 @dataclass(frozen=True)
 class InstancesGranted:
-    """The cloud has rented machines, fewer than requested if it had no more."""
+    """The cloud has rented out machines: fewer than requested if it had no more."""
 
     machines: list[str]
 
 
 @dataclass(frozen=True)
 class NoCapacity:
-    """The cloud has rented none and will not for this request."""
+    """The cloud has rented out no machines, and will not rent out any for this request."""
 
 
 @dataclass(frozen=True)
 class UnknownOutcome:
-    """It is not known whether the cloud has rented machines; the same request may be repeated."""
+    """It is not known whether the cloud has rented out machines; the same request may be repeated."""
 
 
 InstanceRequestOutcome = InstancesGranted | NoCapacity | UnknownOutcome
@@ -50,16 +50,16 @@
     """One node's client of the cloud."""
 
     def __init__(self, client: Client, address: str, rate_limiter: RateLimiter) -> None:
-        """Talk to the cloud at an address, within a rate."""
+        """Send requests to the cloud at an address, within a rate limit."""
         self._client = client
         self._address = address
         self._rate_limiter = rate_limiter
-        # Requests that the latest list took.
+        # The number of requests that the latest machine list took.
         self.list_pages = 0
-        # Told of each answer, and of each that did not come: whether the cloud serves us.
+        # Called after each request, answered or not, with whether the cloud serves this node.
         self.on_contact: Callable[[bool], None] = lambda ok: None
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, body: bytes | None = None, urgency: int = NORMAL
     ) -> tuple[int, bytes]:
         for _ in range(MAX_TRIES):
@@ -67,15 +67,15 @@
             status, data = await self._client.fetch(self._address, method, path, body, TIMEOUT_S)
             if status != 429:
                 break
-            # Not executed: the nodes share the rate, and another one has used it up.
+            # The request was not executed: the nodes share the rate, and another node has used it up.
             self._rate_limiter.drain()
             await asyncio.sleep(random.uniform(0.1, 0.4))
         self.on_contact(status not in (0, 503) or b"no capacity" in data)
         return status, data
 
     async def machine_types(self) -> dict[str, MachineType] | None:
-        """Return the machine types on offer, or None if they are not known."""
-        status, data = await self._ask("GET", wire.MACHINE_TYPES_PATH, urgency=URGENT)
+        """Return the machine types on offer, or None if the cloud has not answered with them."""
+        status, data = await self._request("GET", wire.MACHINE_TYPES_PATH, urgency=URGENT)
         if status != 200:
             return None
         try:
@@ -85,13 +85,13 @@
             return None
 
     async def machines(self) -> list[wire.ListedMachine] | None:
-        """Return the whole machine list, or None if it is not known."""
+        """Return the whole machine list, or None if a page of it could not be read."""
         listed: list[wire.ListedMachine] = []
         after: str | None = None
         self.list_pages = 0
         while True:
             self.list_pages += 1
-            status, data = await self._ask("GET", wire.machine_page_path(after))
+            status, data = await self._request("GET", wire.machine_page_path(after))
             if status != 200:
                 return None
             try:
@@ -110,17 +110,17 @@
         """Rent machines.
 
         Args:
-            name: The request's name: one that is repeated under its name rents nothing more.
+            name: The request's name. A request that is repeated with the same name rents no further machines.
             machine_type: The machines' type.
-            zone: The zone in which they are to run.
+            zone: The zone of the machines.
             spot: Whether they are spot instances.
-            count: How many.
+            count: The number of machines.
 
         Returns:
-            What the cloud has answered, or that it is not known.
+            The outcome according to the cloud's answer, or that the outcome is unknown.
         """
         body = wire.encode_instance_request(name, machine_type, zone, spot, count)
-        status, data = await self._ask("POST", wire.MACHINES_PATH, body)
+        status, data = await self._request("POST", wire.MACHINES_PATH, body)
         if status == 200:
             try:
                 return InstancesGranted(_instances_decoder.decode(data).machines)
@@ -134,8 +134,8 @@
         return UnknownOutcome()
 
     async def delete(self, names: list[str]) -> bool:
-        """Delete machines; True once they are certainly gone."""
-        status, _ = await self._ask(
+        """Delete machines; return whether the cloud has confirmed it."""
+        status, _ = await self._request(
             "POST", wire.DELETE_MACHINES_PATH, wire.encode_delete_machines(names), URGENT
         )
         return status == 200
--- a/pearstep/controller/extension.py
+++ b/pearstep/controller/extension.py
@@ -1,6 +1,6 @@
-"""Define what a controller may load beside its own parts.
+"""Define the interface of the extensions that a controller may load.
 
-It is an interface, so that a controller without an extension imports nothing of it.
+A controller without an extension imports none of its modules.
 """
 
 from __future__ import annotations
@@ -38,34 +38,34 @@
 
 
 class Extension(Protocol):
-    """Something that lives in a controller, such as offloading to peers.
+    """An optional component of a controller, such as offloading to peers.
 
-    ``controller`` is the ``Controller`` and ``leadership`` its ``Leadership``, which use this interface and
-    not the other way round.
+    ``controller`` is the ``Controller`` and ``leadership`` its ``Leadership``. They are untyped because their
+    modules import this one.
     """
 
     def attach(self, controller: Any) -> None:
-        """Attach to a controller that is built, but has read nothing yet."""
+        """Attach to a controller that is constructed, but has not read any records yet."""
 
     def loops(self) -> list[Callable[[], Awaitable[None]]]:
-        """Return rounds to be repeated beside the controller's own."""
+        """Return functions that the controller calls in loops beside its own."""
 
     async def before_plan(self, leadership: Any) -> None:
-        """Prepare a pass of the leader; no route is being written then."""
+        """Prepare a pass of the leader; no route is being written at that time."""
 
     def after_plan(self, leadership: Any) -> None:
-        """Follow a pass of the leader, before it is written."""
+        """Process the plan of a pass of the leader, before it is written."""
 
     async def before_cancellation(self, job: Job) -> dict[str, int] | None:
         """Prepare the cancellation of a job by its user.
 
         Returns:
-            Preconditions under which it may be written now, or None if it must wait, in which case the
-            request is recorded.
+            Preconditions under which it may be written now, or None if it must wait; the request is then
+            recorded.
         """
 
     def handle(self, request: HTTPServerRequest) -> Answer | None:
-        """Answer a request that the controller does not serve; None if this extension doesn't either."""
+        """Answer a request that the controller does not serve; return None if this extension can't either."""
 
 
 class CompositeExtension(Extension):
@@ -76,35 +76,35 @@
         self.extensions = extensions
 
     def attach(self, controller: Any) -> None:
-        """Attach all."""
+        """Attach all extensions."""
         for extension in self.extensions:
             extension.attach(controller)
 
     def loops(self) -> list[Callable[[], Awaitable[None]]]:
-        """Return the rounds of all."""
+        """Return the loop functions of all extensions."""
         return [loop for extension in self.extensions for loop in extension.loops()]
 
     async def before_plan(self, leadership: Any) -> None:
-        """Prepare a pass in all."""
+        """Prepare a pass in all extensions."""
         for extension in self.extensions:
             await extension.before_plan(leadership)
 
     def after_plan(self, leadership: Any) -> None:
-        """Follow a pass in all."""
+        """Process the plan of a pass in all extensions."""
         for extension in self.extensions:
             extension.after_plan(leadership)
 
     async def before_cancellation(self, job: Job) -> dict[str, int] | None:
-        """Return the preconditions of all; None as soon as one says that it must wait."""
+        """Return the preconditions of all extensions; None if the cancellation must wait for one of them."""
         preconditions: dict[str, int] = {}
         for extension in self.extensions:
-            more = await extension.before_cancellation(job)
-            if more is None:
+            extension_preconditions = await extension.before_cancellation(job)
+            if extension_preconditions is None:
                 return None
-            preconditions |= more
+            preconditions |= extension_preconditions
         return preconditions
 
     def handle(self, request: HTTPServerRequest) -> Answer | None:
-        """Return the first answer there is."""
+        """Return the answer of the first extension that serves the request."""
         answers = (extension.handle(request) for extension in self.extensions)
         return next((answer for answer in answers if answer is not None), None)
--- a/pearstep/controller/health_monitor.py
+++ b/pearstep/controller/health_monitor.py
@@ -88,10 +88,10 @@
 
     async def status(self, query: PeerQuery) -> PeerStatus:
         """Answer a query of a peer."""
-        if query.cloud:
+        if query.check_cloud:
             await self.cloud.machine_types()
         misdirected: dict[int, int] = {}
-        if query.workers:
+        if query.count_misdirected:
             misdirected = await self.agents.count_misdirected_reachable(
                 max(2 * self.settings.heartbeat_interval_us, MISDIRECTED_RECENT_US)
             )
@@ -185,11 +185,12 @@
         """Ask all peers about suspected neighbours, and for cancellations."""
         sent_us = self.now_us()
         query = PeerQuery(
-            cloud=Neighbour.CLOUD in suspects and sent_us - self._cloud_asked_us > CLOUD_QUERY_INTERVAL_US,
-            workers=Neighbour.WORKERS in suspects,
+            check_cloud=Neighbour.CLOUD in suspects
+            and sent_us - self._cloud_asked_us > CLOUD_QUERY_INTERVAL_US,
+            count_misdirected=Neighbour.WORKERS in suspects,
             after=self.replica.revision if self.follower.loaded else None,
         )
-        if query.cloud:
+        if query.check_cloud:
             self._cloud_asked_us = sent_us
         statuses = await self.peers.query_all(query)
         if query.after is not None:
@@ -205,10 +206,10 @@
         if Neighbour.STATE in suspects:
             reached = any(status.kv_reachable for status in statuses)
             self.reachability.record_peer_observation(Neighbour.STATE, reached, now)
-        if query.workers:
+        if query.count_misdirected:
             reached = self._agents_reach_a_peer(statuses)
             self.reachability.record_peer_observation(Neighbour.WORKERS, reached, now)
-        if query.cloud:
+        if query.check_cloud:
             reached = any(status.cloud_reachable for status in statuses)
             self.reachability.record_peer_observation(Neighbour.CLOUD, reached, now)
 
--- a/pearstep/controller/job_api.py
+++ b/pearstep/controller/job_api.py
@@ -1,6 +1,6 @@
 """The users' API over HTTP: submissions, polls and cancellations.
 
-Any controller decides them through its own transaction, and answers after it commits.
+Every controller serves them: it commits its own transaction, and answers after the commit.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
 
 log = EventLogger("pearstep.job_api")
 
-# How often a submission is looked up anew because the history was written to meanwhile.
+# Lookups for one submission while the history keeps changing concurrently.
 MAX_LOOKUPS = 4
 
 _STATE_UNKNOWN = "state not known now"
 _KV_UNAVAILABLE = "state service is away"
-# What users are told of a cancellation that can't be confirmed now. The texts are part of the protocol.
+# Errors for cancellations that can't be confirmed now. The texts are part of the protocol.
 _CANCELLATION_TEXTS = {
     CancellationRefusal.STATE_UNKNOWN: _STATE_UNKNOWN,
     CancellationRefusal.OFFLOADS_UNREAD: (
         "there are loans that this node cannot read: start it with --federation"
     ),
-    # Never "cancelled" before nothing of it can run any more.
+    # The job is reported as cancelled only when none of its tasks can run any more.
     CancellationRefusal.OFFLOADED: "lent to a peer, which has been told to stop it",
     CancellationRefusal.NOT_VISIBLE_YET: "cancelled, and told once every controller knows",
     CancellationRefusal.NOT_COMMITTED: _KV_UNAVAILABLE,
 }
 
 
-def reason_it_cannot_run(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
+def infeasibility_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
     """Return why the job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
     if not any(fits_machine_type(spec, machine_type) for machine_type in types.values()):
         return "a task fits no allowed machine type"
-    count = 1 if spec.kind == "array" else spec.tasks
-    if not team.within_limit(count * spec.cpus, count * spec.gpus):
+    concurrent_tasks = 1 if spec.kind == "array" else spec.tasks
+    if not team.within_limit(concurrent_tasks * spec.cpus, concurrent_tasks * spec.gpus):
         return "more than the team's limit"
     return None
 
@@ -68,8 +68,8 @@
     return 405, wire.encode_error("method not allowed"), {"Allow": allowed}
 
 
-def _answer_known(status: int, job: Job | FinishedJob) -> Answer:
-    """Answer with what is known of a job."""
+def _job_answer(status: int, job: Job | FinishedJob) -> Answer:
+    """Answer with the status of a job that was found."""
     if isinstance(job, FinishedJob):
         return status, wire.encode_job_status(job.job_id, job.state, job.done, 0), {}
     job_id = job.spec.job_id
@@ -84,9 +84,9 @@
 
 
 class JobApi:
-    """Answers users.
+    """Serves the users' API.
 
-    Every request is answered at once: with what is certain, or with a 503 that says when to come back.
+    Every request is answered at once: with what is certain, or with a 503 and a Retry-After header.
     """
 
     def __init__(  # noqa: PLR0913 - called by position; the controller's parts are put together there
@@ -100,17 +100,17 @@
         retry_after_s: int,
         limits: TransactionLimits,
     ) -> None:
-        """Answer by a replica, and write to the key-value store.
+        """Answer from a replica, and write to the key-value store.
 
         Args:
             kv: The key-value store.
             replica: The replica of its keys.
             teams: The teams by name.
-            read_barrier: Makes the replica current; returns whether that succeeded.
-            apply: Takes a committed record into the replica: key, revision, record.
+            read_barrier: Brings the replica up to date; returns whether that succeeded.
+            apply: Applies a committed record to the replica: key, revision, record.
             wall_us: The time of day in microseconds.
-            retry_after_s: When users shall come back after a 503, in seconds.
-            limits: What a transaction may hold.
+            retry_after_s: The delay after which users retry a request that got a 503, in seconds.
+            limits: The limits of a transaction.
         """
         self.kv = kv
         self.replica = replica
@@ -130,7 +130,7 @@
         )
         self._retry = {"Retry-After": str(retry_after_s)}
 
-    # -- what the controller sets after construction ---------------------------------------------
+    # -- attributes that the controller sets after construction ----------------------------------
 
     @property
     def ready(self) -> bool:
@@ -143,7 +143,7 @@
 
     @property
     def history(self) -> FinishedJobs | None:
-        """What knows the jobs that have left their records."""
+        """Finds finished jobs whose records were moved to the history."""
         return self.lookup.history
 
     @history.setter
@@ -152,7 +152,7 @@
 
     @property
     def cancellation_delay_us(self) -> int:
-        """How long a cancellation is known here before users are told, in microseconds."""
+        """The time from when this node learns of a cancellation until users are told, in microseconds."""
         return self.lookup.cancellation_delay_us
 
     @cancellation_delay_us.setter
@@ -161,7 +161,7 @@
 
     @property
     def before_cancellation(self) -> BeforeCancellation | None:
-        """What is asked before a cancellation; see ``Extension.before_cancellation``."""
+        """The hook to call before a cancellation; see ``Extension.before_cancellation``."""
         return self.canceller.before_cancellation
 
     @before_cancellation.setter
@@ -170,7 +170,7 @@
 
     @property
     def broadcast_cancellation(self) -> BroadcastCancellation | None:
-        """What tells the other controllers of a cancellation; None: there are none."""
+        """Sends a cancellation to the other controllers; None if there are none."""
         return self.canceller.broadcast_cancellation
 
     @broadcast_cancellation.setter
@@ -183,9 +183,9 @@
     def direct_shard(self, spec: JobSpec) -> int | None:
         """Return the shard that may place the job at once, without the leader.
 
-        That is a single task whose team has no limit to be kept across shards. Seen: five small jobs a
-        second, four changes each, against 20 a second. If it finds no free machine there, the leader moves
-        it like any other.
+        Only jobs of a single task qualify, whose team has no limit to be kept across shards. Seen: five small
+        jobs a second, with four changes each, used up a limit of 20 changes a second. If no machine of the
+        shard is free, the leader routes the job to another one like any other job.
         """
         team = self.teams[spec.team]
         if spec.kind != "array" or spec.tasks > 1 or team.cpus_max or team.gpus_max:
@@ -193,11 +193,11 @@
         return self.home_shard
 
     def unavailable(self, reason: str) -> Answer:
-        """Answer that it can't be decided now, and when to come back."""
+        """Answer 503: the request can't be decided now, and may be retried after a delay."""
         return 503, wire.encode_error(reason), self._retry
 
     async def handle(self, request: HTTPServerRequest) -> Answer | None:
-        """Answer a request, or None if the path is not one of the users'."""
+        """Answer a request, or return None if the path is not part of the users' API."""
         path = request.path
         if path == wire.JOBS_PATH:
             if request.method != "POST":
@@ -223,7 +223,7 @@
             return self.unavailable(_STATE_UNKNOWN)
         if isinstance(found, JobAbsent):
             return 404, wire.encode_error("no such job"), {}
-        return _answer_known(200, found.job)
+        return _job_answer(200, found.job)
 
     async def cancel(self, job_id: str) -> Answer:
         """Answer the POST of a cancellation."""
@@ -235,7 +235,7 @@
         return 200, wire.encode_job_status(job_id, result.state), {}
 
     async def submit(self, body: bytes) -> Answer:
-        """Answer the POST of a job. A known id is answered before the rest is checked."""
+        """Answer the POST of a job. If the id is known, the other fields are not validated."""
         if len(body) > wire.MAX_SUBMISSION_BYTES:
             return 413, wire.encode_error("body over 64 KiB"), {}
         try:
@@ -245,7 +245,7 @@
         if job_id in self.replica.jobs:
             found = await self.lookup.find(job_id)
             if isinstance(found, JobFound):
-                return _answer_known(200, found.job)
+                return _job_answer(200, found.job)
             return self.unavailable(_STATE_UNKNOWN)
         try:
             spec = wire.decode_submission(body)
@@ -253,7 +253,7 @@
             return await self._reject(job_id, 400, str(err))
         if not self.ready or not self.machine_types:
             return self.unavailable("not ready")
-        reason = reason_it_cannot_run(spec, self.teams, self.machine_types)
+        reason = infeasibility_reason(spec, self.teams, self.machine_types)
         if reason is not None:
             return await self._reject(job_id, 422, reason)
         if self.kv.is_unavailable():
@@ -263,25 +263,25 @@
     async def _reject(self, job_id: str, status: int, reason: str) -> Answer:
         """Refuse a submission, unless its id is known.
 
-        Another controller may have accepted the id: its repeat is never refused, also not by a controller
-        that has only just begun and knows nothing yet.
+        Another controller may have accepted the id. A repeated submission is never refused, even by a
+        controller that has just started and has not loaded its replica.
         """
         found = await self.lookup.find(job_id)
         if isinstance(found, JobFound):
-            return _answer_known(200, found.job)
+            return _job_answer(200, found.job)
         if isinstance(found, JobUnknown):
             return self.unavailable(_STATE_UNKNOWN)
         return status, wire.encode_error(reason), {}
 
     async def _submit_new(self, spec: JobSpec) -> Answer:
-        """Write a job whose id has no record here."""
+        """Write a job whose id has no record in the replica."""
         outcome = SubmissionOutcome.STALE
         for lookups in range(MAX_LOOKUPS):
             if lookups and not await self.lookup.read_barrier():
                 break
             found = await self.lookup.find_finished(spec.job_id)
             if isinstance(found, JobFound):
-                return _answer_known(200, found.job)
+                return _job_answer(200, found.job)
             if isinstance(found, JobUnknown):
                 return self.unavailable(_STATE_UNKNOWN)
             outcome = await self._submissions.submit(spec, found.preconditions)
@@ -304,5 +304,5 @@
         if outcome == SubmissionOutcome.CONFLICT:
             found = await self.lookup.find(spec.job_id)
             if isinstance(found, JobFound):
-                return _answer_known(200, found.job)
+                return _job_answer(200, found.job)
         return self.unavailable(_KV_UNAVAILABLE)
--- a/pearstep/controller/operator_settings.py
+++ b/pearstep/controller/operator_settings.py
@@ -14,14 +14,14 @@
 from pearstep.transport.settings_file import NotNegative, Positive, PositiveInt
 
 FILE_VARIABLE = "PEARSTEP_TUNING"
-# Sections that a deployment may change.
+# Sections that a deployment may override.
 _SECTIONS = ("backfilling", "renting", "guarding", "leading")
-# Jobs are queued by their length, in one class more than there are bounds.
+# Jobs are queued by their length; there is one queue more than there are bounds.
 QUEUE_BOUNDS = 3
 
 
 class Backfilling(msgspec.Struct, forbid_unknown_fields=True):
-    """The parameters of backfilling; the defaults are those marked as ours in the design."""
+    """The parameters of backfilling."""
 
     bounds_s: list[Positive] = msgspec.field(default_factory=lambda: [100.0, 1000.0, 10_000.0])
     initial_delay_s: NotNegative = 20.0
@@ -31,7 +31,7 @@
     backlog: PositiveInt = 12
     spare_s: NotNegative = 4.0
     urgent_s: NotNegative = 100.0
-    # Within which time of its submission every job is to begin, whatever its priority; 0: there is none.
+    # The time after its submission within which every job is to start, whatever its priority; 0: no limit.
     begin_s: NotNegative = 240.0
 
 
@@ -47,12 +47,12 @@
     boot_margin_s: Positive = 15.0
     patience: NotNegative = 1.0
     move_s: NotNegative = 4.0
-    # How many times the price of the cheapest machine of its kind a machine may cost; 0: any.
+    # The highest price of a machine, as a multiple of the cheapest one of its kind; 0: no limit.
     dearest: NotNegative = 0.0
 
 
 class Guarding(msgspec.Struct, forbid_unknown_fields=True):
-    """When a machine or a job is taken for faulty."""
+    """When a machine or a job is considered faulty."""
 
     silent_s: Positive = 10.0
     sick_errors: PositiveInt = 2
@@ -61,26 +61,26 @@
 
 
 class Leading(msgspec.Struct, forbid_unknown_fields=True):
-    """Leases and pauses of the controllers among themselves."""
+    """Leases of the controllers, and the intervals of their loops."""
 
     lease_s: Positive = 6.0
     takeover_s: Positive = 3.0
     step_ms: Positive = 50.0
     follow_ms: Positive = 120.0
     refresh_ms: Positive = 150.0
-    # Machines are assigned to the shards of their own zone; counts only when a cluster is begun.
+    # Whether machines are assigned to shards of their own zone; has an effect only when a cluster is new.
     parts_within_zones: bool = True
-    # How many times as long as it took a loop pauses after a pass, and the longest pause: processor time for
-    # heartbeats, users and leases.
+    # A loop pauses after a pass for ``pace`` times its duration, at most ``longest_rest_ms``: this leaves
+    # processor time for heartbeats, users and leases.
     pace: Positive = 39.0
     longest_rest_ms: Positive = 1000.0
 
 
 class Tuning(msgspec.Struct, forbid_unknown_fields=True):
-    """The operators' file. Everything has a default.
+    """The operators' settings file. Every setting has a default.
 
-    ``deployments`` holds what differs from one deployment to another; the one that has the platform's zones
-    is used.
+    ``deployments`` holds settings that override the others in one deployment; the one that has the platform's
+    zones is used.
     """
 
     deployments: list[Deployment] = []
@@ -92,7 +92,7 @@
 
 
 class Deployment(msgspec.Struct, forbid_unknown_fields=True):
-    """Differences for the deployment with these zones: sections as in the file itself."""
+    """Overrides for the deployment with these zones: sections as in the file itself."""
 
     zones: list[str]
     name: str = ""
@@ -103,14 +103,14 @@
 
 
 def load_tuning(file: str | None, zones: list[str]) -> Tuning:
-    """Read and check the operators' file, with what differs in the deployment that has these zones.
+    """Read and check the operators' file, with the overrides of the deployment that has these zones.
 
     Args:
         file: The file; by default the one in the environment. Without any, all settings have their defaults.
         zones: The platform's zones.
 
     Raises:
-        SettingsError: It can't be read, or something in it is wrong.
+        SettingsError: The file can't be read, or a setting is wrong.
     """
     name = file or os.environ.get(FILE_VARIABLE) or ""
     raw = _read(name) if name else {}
--- a/pearstep/controller/peers.py
+++ b/pearstep/controller/peers.py
@@ -1,9 +1,9 @@
 """Exchange observations and cancellations with the other controllers.
 
-Controllers tell each other what they reach: the state service, the cloud, and the agents of each shard, as
-far as these have sent them misdirected heartbeats; and which cancellations they may confirm to users. A
-controller asks only while it misses something itself. Each cancellation that it commits it broadcasts before
-its user gets the answer.
+Controllers report to each other what they can reach (the state service, the cloud, and the agents of each
+shard that have sent them misdirected heartbeats) and which cancellations they may confirm to users. A
+controller queries its peers only while it cannot reach something itself. It broadcasts each cancellation that
+it commits before it answers the user.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from pearstep.protocol import controller_messages as wire
 from pearstep.transport.http import Answer, Client
 
-# How long a peer may take to answer, and if it has to ask the cloud first.
+# Timeouts of a query to a peer: without and with a request to the cloud first.
 PEER_TIMEOUT_S = 1.0
 PEER_CLOUD_TIMEOUT_S = 3.0
 
 
 class CancelledJob(NamedTuple):
-    """A cancellation that is committed."""
+    """A committed cancellation."""
 
     job_id: str
     # The version of the job's record.
@@ -51,51 +51,52 @@
     cloud_reachable: bool = False
     # How many machines of each shard have recently sent it heartbeats although another node owns the shard.
     misdirected_by_shard: dict[int, int] = {}
-    # The cancellations that it may confirm, beyond the revision it was asked for. None: it does not list
-    # them, as a controller of an earlier release.
+    # The cancellations that it may confirm, after the revision in the query. None: it does not list them,
+    # as a controller of an earlier release.
     cancelled: list[CancelledJob] | None = None
     # Whether there are more cancellations than those listed.
     more: bool = False
-    # How long its process has lived, if that has not read the records yet.
+    # How long its process has been running, if it has not read the records yet.
     uptime_us: int | None = None
 
 
 class CancellationBroadcast(msgspec.Struct):
-    """Cancellations that are committed."""
+    """Committed cancellations."""
 
     cancelled: list[CancelledJob]
 
 
 class PeerQuery(NamedTuple):
-    """What a peer is asked."""
+    """A query to a peer."""
 
-    # It asks the cloud first.
-    cloud: bool = False
-    # It counts the misdirected heartbeats.
-    workers: bool = True
-    # It lists the cancellations that it may confirm, from this revision on; None: it lists none.
+    # Whether the peer sends a request to the cloud first.
+    check_cloud: bool = False
+    # Whether the peer counts the misdirected heartbeats.
+    count_misdirected: bool = True
+    # The peer lists the cancellations that it may confirm after this revision; None: it lists none.
     after: int | None = None
 
     @property
     def path(self) -> str:
         """Return the path and query string of the request."""
-        asked = {wire.PEER_QUERY_CLOUD: self.cloud, wire.PEER_QUERY_AGENTS: self.workers}
-        words = [f"{name}=1" for name, wanted in asked.items() if wanted]
+        flags = {wire.PEER_QUERY_CLOUD: self.check_cloud, wire.PEER_QUERY_AGENTS: self.count_misdirected}
+        parameters = [f"{name}=1" for name, wanted in flags.items() if wanted]
         if self.after is not None:
-            words.append(f"{wire.PEER_QUERY_AFTER}={self.after}")
-        return wire.PEER_STATUS_PATH + ("?" + "&".join(words) if words else "")
+            parameters.append(f"{wire.PEER_QUERY_AFTER}={self.after}")
+        return wire.PEER_STATUS_PATH + ("?" + "&".join(parameters) if parameters else "")
 
     @classmethod
-    def read(cls, arguments: dict[str, list[bytes]]) -> PeerQuery:
+    def from_arguments(cls, arguments: dict[str, list[bytes]]) -> PeerQuery:
         """Read a query from the arguments of a request.
 
-        A controller of an earlier release asks for agents without an argument for it.
+        A controller of an earlier release always expects the count of misdirected heartbeats, and sends no
+        argument for it.
         """
         value = arguments.get(wire.PEER_QUERY_AFTER, [b""])[0]
         after = int(value) if value.isdigit() else None
         return cls(
-            cloud=wire.PEER_QUERY_CLOUD in arguments,
-            workers=after is None or wire.PEER_QUERY_AGENTS in arguments,
+            check_cloud=wire.PEER_QUERY_CLOUD in arguments,
+            count_misdirected=after is None or wire.PEER_QUERY_AGENTS in arguments,
             after=after,
         )
 
@@ -104,7 +105,7 @@
     """Queries the peers, and answers their queries."""
 
     def __init__(self, client: Client, peers: dict[str, str]) -> None:
-        """Connect to peers.
+        """Initialize with the addresses of the peers.
 
         Args:
             client: The HTTP client.
@@ -112,7 +113,7 @@
         """
         self.client = client
         self.peers = peers
-        # Both are set once there is somebody to answer; until then peers get 503.
+        # Both are set once this node can answer; until then peers get a 503.
         self.answer_query: Callable[[PeerQuery], Awaitable[PeerStatus]] | None = None
         self.apply_cancellations: Callable[[list[CancelledJob]], None] | None = None
 
@@ -126,7 +127,11 @@
             return 405, wire.encode_error("method not allowed"), {"Allow": "GET"}
         if self.answer_query is None:
             return 503, wire.encode_error("starting"), {}
-        return 200, msgspec.json.encode(await self.answer_query(PeerQuery.read(request.arguments))), {}
+        return (
+            200,
+            msgspec.json.encode(await self.answer_query(PeerQuery.from_arguments(request.arguments))),
+            {},
+        )
 
     async def broadcast_cancellation(self, job_id: str, version: int, ended_at_us: int) -> bool:
         """Send a committed cancellation to all peers.
@@ -137,7 +142,7 @@
             ended_at_us: When it was cancelled, time of day.
 
         Returns:
-            Whether each has acknowledged it in time. A controller of an earlier release does not.
+            Whether each peer has acknowledged it in time. Controllers of earlier releases do not.
         """
         body = msgspec.json.encode(CancellationBroadcast([CancelledJob(job_id, version, ended_at_us)]))
         answers = await asyncio.gather(
@@ -163,13 +168,13 @@
         return 200, b"{}", {}
 
     async def query_all(self, query: PeerQuery) -> list[PeerStatus]:
-        """Query all peers, and return what those report that answer."""
+        """Query all peers, and return the reports of those that answer."""
         answers = await asyncio.gather(*(self.query(name, query) for name in self.peers))
         return [answer for answer in answers if answer is not None]
 
     async def query(self, name: str, query: PeerQuery) -> PeerStatus | None:
-        """Query one peer, and return what it reports; None if there is no answer."""
-        timeout_s = PEER_CLOUD_TIMEOUT_S if query.cloud else PEER_TIMEOUT_S
+        """Query one peer, and return its report; None if there is no valid answer."""
+        timeout_s = PEER_CLOUD_TIMEOUT_S if query.check_cloud else PEER_TIMEOUT_S
         status, body = await self.client.fetch(self.peers[name], "GET", query.path, timeout_s=timeout_s)
         if status != 200:
             return None
--- a/pearstep/controller/platform_settings.py
+++ b/pearstep/controller/platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML): what a controller is told of its node, its peers and their limits."""
+"""The platform's settings file (TOML): a controller's node, its peers, and the limits of its environment."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """What agents do, and how long they wait; in seconds."""
+    """Intervals and timeouts of the agents, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -56,7 +56,7 @@
 
 
 class StateSettings(msgspec.Struct):
-    """Limits of the state service: requests, changes a second, size of a value, changes at once."""
+    """Limits of the state service: requests and changes a second, value size, changes per transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -72,7 +72,7 @@
 
 
 class Resources(msgspec.Struct):
-    """What this process may use."""
+    """Resource limits of this process."""
 
     cpu: Positive = 1.0
     ram_mb: Positive = 256.0
@@ -80,7 +80,7 @@
 
 
 class Params(msgspec.Struct):
-    """What all nodes have in common."""
+    """Settings that all nodes share."""
 
     nodes: PositiveInt
     zones: list[str]
@@ -94,7 +94,7 @@
 
 
 class Platform(msgspec.Struct):
-    """The file that the platform hands over."""
+    """The platform's settings file."""
 
     node: str
     bind: str
@@ -109,7 +109,7 @@
     """Read and check the platform's file.
 
     Raises:
-        SettingsError: It can't be read, or something in it is wrong.
+        SettingsError: The file can't be read, or a setting is wrong.
     """
     try:
         data = tomllib.loads(Path(file).read_text())
@@ -119,7 +119,7 @@
 
 
 def check_platform(platform: Platform, file: str) -> None:
-    """Check what the types of the fields don't say; raise SettingsError."""
+    """Check what the types of the fields can't express; raise SettingsError if a setting is wrong."""
     for text in (platform.bind, platform.endpoints.cloud, platform.endpoints.state):
         parse_address(text)
     if platform.mesh_addr:
--- a/pearstep/controller/settings.py
+++ b/pearstep/controller/settings.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's file and the operators' own together, and what is derived from both."""
+"""A controller's settings: the platform's file, the operators' file, and the values derived from both."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class Settings:
-    """Both files together, and what is derived from them; times in microseconds."""
+    """The settings of both files, and the values derived from them; times in microseconds."""
 
     def __init__(self, platform: Platform, tuning: Tuning) -> None:
         """Derive values from the platform's and the operators' files."""
@@ -85,7 +85,7 @@
         self._derive_timeouts()
 
     def _derive_shards(self) -> None:
-        """Derive the shards: each node is the home of one."""
+        """Derive the shards: each node is the home of one shard."""
         platform = self.platform
         locations = {
             platform.node: platform.location,
@@ -94,21 +94,23 @@
         self.nodes = sorted(locations)
         self.shard_count = len(self.nodes)
         self.home_shard = self.nodes.index(platform.node)
-        # Each shard's zone: that of the node whose home it is. In one zone there is nothing to tell apart.
+        # Each shard's zone is that of its home node. Empty if there is one zone only, or a node has none.
         zones = [locations[node] for node in self.nodes]
         self.shard_zones = zones if len(set(zones)) > 1 and all(zones) else []
 
     def _derive_objectives(self) -> None:
         """Derive the times within which work is to start."""
         objectives = self.params.objectives
-        waits = [(each.cls, to_us(each.within_s)) for each in objectives if each.kind == "wait"]
+        waits = [
+            (objective.cls, to_us(objective.within_s)) for objective in objectives if objective.kind == "wait"
+        ]
         # The times of its submission within which jobs of a class are to start, ascending.
         self.start_objectives = {
             job_class: tuple(sorted(within_us for cls, within_us in waits if cls == job_class))
             for job_class, _ in waits
         }
-        # The time within which work within a team's guarantee is to start; 0 if nothing is said of it.
-        guaranteed = [to_us(each.within_s) for each in objectives if each.kind == "guarantee"]
+        # The time within which work within a team's guarantee is to start; 0 if there is no such objective.
+        guaranteed = [to_us(objective.within_s) for objective in objectives if objective.kind == "guarantee"]
         self.guaranteed_start_us = min(guaranteed, default=0)
         # The classes that are to start soon.
         urgent_us = to_us(self.tuning.backfilling.urgent_s)
@@ -117,10 +119,11 @@
         )
 
     def _derive_transaction_limits(self) -> None:
-        """Derive what this node puts into one transaction.
+        """Derive the limits of this node's transactions.
 
-        A transaction needs all its changes in the budget at once. Seen: one of 16 changes, refused again and
-        again at 20 a second, while the other nodes' small ones went through.
+        A transaction is refused unless the rate limit has room for all its changes at once. Seen: one of 16
+        changes was refused again and again at a limit of 20 changes a second, while the small ones of the
+        other nodes were accepted.
         """
         state = self.params.state
         self.txn_ops = max(min(state.txn_ops, int(state.write_rps / self.shard_count)), 1)
@@ -155,7 +158,7 @@
         tuning: The operators' file; by default the one in the environment, if any.
 
     Raises:
-        SettingsError: With one line, if anything is wrong.
+        SettingsError: A file can't be read, or a setting is wrong. The text is one line.
     """
     platform = load_platform(config)
     operators = load_tuning(tuning, platform.params.zones)
@@ -164,7 +167,7 @@
 
 
 def owner_config(settings: Settings) -> ShardOwnerConfig:
-    """Return what the owner of a shard needs of the settings."""
+    """Return the settings of a shard owner."""
     backfilling = settings.tuning.backfilling
     guarding = settings.tuning.guarding
     return ShardOwnerConfig(
--- a/pearstep/controller/settings_error.py
+++ b/pearstep/controller/settings_error.py
@@ -1,4 +1,4 @@
-"""What both settings files have in common: the error, and checks that name what is wrong in one line."""
+"""What both settings files share: the error, and checks that report a wrong setting in one line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def convert(data: Any, cls: type[T], name: str) -> T:
-    """Convert what a file holds to a type; raise SettingsError with the file's name."""
+    """Convert a file's content to a type; raise SettingsError with the file's name."""
     try:
         return msgspec.convert(data, cls, strict=False)
     except msgspec.ValidationError as err:
@@ -24,7 +24,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split an address 'host:port'; raise SettingsError if it is none."""
+    """Split an address 'host:port'; raise SettingsError if it is not of this form."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise SettingsError(f"not an address of the form host:port: {text!r}")
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -36,10 +36,10 @@
 STATUSES_OF_EARLIER_RELEASE = {"status_earlier": MINIMAL_STATUS | dict(node="node-3", kv_reachable=True)}
 BROADCASTS = {"ends": [["req-7", 412, 1_700_000_000_000_001]], "ends_none": []}
 QUERIES = {
-    "cloud and workers": PeerQuery(cloud=True),
+    "cloud and workers": PeerQuery(check_cloud=True),
     "workers": PeerQuery(),
-    "nothing": PeerQuery(workers=False),
-    "what may be told": PeerQuery(workers=False, after=412),
+    "nothing": PeerQuery(count_misdirected=False),
+    "what may be told": PeerQuery(count_misdirected=False, after=412),
     "everything": PeerQuery(True, True, 0),
 }
 EXCHANGES = files.table("peers/exchanges.json")
@@ -89,7 +89,7 @@
     arguments = {
         name: [value.encode()] for name, _, value in (part.partition("=") for part in query_string.split("&"))
     }
-    assert PeerQuery.read(arguments) == query
+    assert PeerQuery.from_arguments(arguments) == query
 
 
 def make_peer_client(is_starting=False):
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -132,8 +132,8 @@
             name: [value.encode()]
             for name, _, value in (part.partition("=") for part in query.split("&") if part)
         }
-        assert path == "/mesh/status" and PeerQuery.read(arguments) == peer_query
-    assert PeerQuery.read({}) == PeerQuery(False, True, None)
+        assert path == "/mesh/status" and PeerQuery.from_arguments(arguments) == peer_query
+    assert PeerQuery.from_arguments({}) == PeerQuery(False, True, None)
 
 
 def test_replica_lists_jobs_cancelled_after_a_revision():
