--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -1,5 +1,5 @@
-"""No start follows a confirmed cancellation, and what a cancelled task uses of its team's limit is counted
-until it is gone.
+"""No start follows a confirmed cancellation, and a cancelled task counts against its team's limit until it
+has stopped.
 """
 
 import asyncio
@@ -26,55 +26,63 @@
 from tests.world import World, spec
 
 
-def test_nothing_starts_by_an_answer_that_comes_after_the_cancellation():
-    w = World()
-    w.machine("m0")
-    w.submit(spec(tasks=1))
-    w.step()
-    # The placement is committed; its answer is slow, and the job is cancelled meanwhile.
-    batch = w.owner.gather_commit(w.now, w.now)
-    revision = w.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()}, batch.deletes)
-    w.put("j/req-1", JobRecord(spec(tasks=1), w.now, JobState.CANCELLED, w.now))
-    actions = SimpleNamespace(commands={}, send=lambda machine, order: pytest.fail(f"{order} is sent"))
-    w.owner.on_committed(batch, revision, actions)
-    assert not [order for order in w.report("m0") if order[0] == "start"]
-
-
-def test_holder_that_the_state_service_does_not_serve_starts_nothing():
-    w = World()
-    machine, name, attempt = w.place_one()
-    m = w.owner.machines[machine]
-    assert w.owner.commands_for(m) == [("start", name, attempt, None)]
-    # Others may be told meanwhile that the job is cancelled.
-    assert w.owner.commands_for(m, starts=False) == []
-    w.owner.on_commands_sent(m, [Command(CommandAction.START, name, attempt)], w.now)
-    w.owner.stop(next(iter(m.attempts.values())), 0, w.now, w.step())
-    assert [op for op, *_ in w.owner.commands_for(m, starts=False)] == ["stop"]
-
-
-@pytest.mark.parametrize("answered", [True, False])
-def test_user_hears_of_a_cancellation_once_every_node_has_or_had_time_to(answered):
-    told = []
+def test_late_placement_answer_starts_nothing_after_a_cancellation():
+    world = World()
+    world.machine("m0")
+    world.submit(spec(tasks=1))
+    world.step()
+    # The placement is committed, but its answer is slow, and the job is cancelled before it arrives.
+    batch = world.owner.gather_commit(world.now, world.now)
+    revision = world.ledger.txn(
+        batch.preconditions, {key: value for key, (value, _) in batch.puts.items()}, batch.deletes
+    )
+    world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
+    actions = SimpleNamespace(commands={}, send=lambda machine, command: pytest.fail(f"{command} is sent"))
+    world.owner.on_committed(batch, revision, actions)
+    assert not [command for command in world.report("m0") if command[0] == "start"]
+
+
+def test_owner_without_the_state_service_starts_nothing():
+    world = World()
+    machine, name, attempt = world.place_one()
+    machine_state = world.owner.machines[machine]
+    assert world.owner.commands_for(machine_state) == [("start", name, attempt, None)]
+    # Another controller may have confirmed a cancellation of the job that this owner has not read.
+    assert world.owner.commands_for(machine_state, starts=False) == []
+    world.owner.on_commands_sent(machine_state, [Command(CommandAction.START, name, attempt)], world.now)
+    world.owner.stop(next(iter(machine_state.attempts.values())), 0, world.now, world.step())
+    assert [action for action, *_ in world.owner.commands_for(machine_state, starts=False)] == ["stop"]
+
+
+@pytest.mark.parametrize("acknowledged", [True, False])
+def test_cancellation_is_confirmed_after_acknowledgement_or_delay(acknowledged):
+    broadcasts = []
 
     async def steps(ask, state, users):
-        async def tell(ref, stamp, end_us):
-            # Not before it is committed.
-            told.append(
-                (ref, stamp, state.ledger.keys[f"j/{ref}"][1], users.replica.jobs[ref].final_seen_at_us)
+        async def broadcast(job_id, version, ended_at_us):
+            # The record is committed before the broadcast: its version in the store is compared below.
+            broadcasts.append(
+                (
+                    job_id,
+                    version,
+                    state.ledger.keys[f"j/{job_id}"][1],
+                    users.replica.jobs[job_id].final_seen_at_us,
+                )
             )
-            return answered
+            return acknowledged
 
-        users.broadcast_cancellation = tell
+        users.broadcast_cancellation = broadcast
         await ask("POST", wire.JOBS_PATH, JOB)
         status, body = await ask("POST", f"{wire.JOBS_PATH}/req-000412/abort")
         assert (status, body["stage"]) == (200, "withdrawn")
         job = users.replica.jobs["req-000412"]
-        assert job.cancellation_acknowledged == answered and (
-            answered or now_us() - job.final_seen_at_us >= CANCELLATION_BROADCAST_US
+        assert job.cancellation_acknowledged == acknowledged and (
+            acknowledged or now_us() - job.final_seen_at_us >= CANCELLATION_BROADCAST_US
         )
-        ((ref, stamp, committed, _),) = told
-        assert (ref, stamp) == ("req-000412", committed)
-        # Whoever learned of it by itself does not tell it at once: a holder may not know.
+        ((job_id, version, committed_version, _),) = broadcasts
+        assert (job_id, version) == ("req-000412", committed_version)
+        # A node that has read a cancellation from the state service does not report it at once: a shard owner
+        # may not have read it yet.
         job.cancellation_acknowledged, job.final_seen_at_us = False, now_us()
         assert (await ask("GET", f"{wire.JOBS_PATH}/req-000412"))[0] == 503
         job.final_seen_at_us -= CANCELLATION_BROADCAST_US
@@ -83,22 +91,24 @@
     asyncio.run(scenario(steps))
 
 
-def test_peers_take_cancellations_in_and_say_so():
-    heard = []
+def test_peers_apply_and_acknowledge_cancellations():
+    applied = []
 
-    class Peers:
+    class InMemoryHttpClient:
         async def fetch(self, addr, method, path, body=None, timeout_s=4.0):
             request = SimpleNamespace(method=method, path=path, body=body)
             status, answer, _ = await peers[addr].handle(request)
             return status, answer
 
     peers = {"b": PeerClient(None, {}), "c": PeerClient(None, {})}
-    mesh = PeerClient(Peers(), {"n1": "b", "n2": "c"})
-    assert not asyncio.run(mesh.broadcast_cancellation("req-1", 7, 9))  # they have only just begun
-    peers["b"].apply_cancellations = heard.append
-    assert not asyncio.run(mesh.broadcast_cancellation("req-1", 7, 9)) and heard == [[("req-1", 7, 9)]]
-    peers["c"].apply_cancellations = heard.append
-    assert asyncio.run(mesh.broadcast_cancellation("req-2", 8, 9)) and heard[1:] == [[("req-2", 8, 9)]] * 2
+    sender = PeerClient(InMemoryHttpClient(), {"n1": "b", "n2": "c"})
+    assert not asyncio.run(sender.broadcast_cancellation("req-1", 7, 9))  # both peers are still starting
+    peers["b"].apply_cancellations = applied.append
+    assert not asyncio.run(sender.broadcast_cancellation("req-1", 7, 9)) and applied == [[("req-1", 7, 9)]]
+    peers["c"].apply_cancellations = applied.append
+    assert (
+        asyncio.run(sender.broadcast_cancellation("req-2", 8, 9)) and applied[1:] == [[("req-2", 8, 9)]] * 2
+    )
     for body in (b"{", b"[]", b'{"cancelled":[["req-1"]]}', b"\xff"):
         request = SimpleNamespace(method="POST", path=wire.PEER_CANCELLATIONS_PATH, body=body)
         assert asyncio.run(peers["b"].handle(request))[0] == 400
@@ -106,7 +116,7 @@
     assert asyncio.run(peers["b"].handle(request))[0] == 405
 
 
-def slow(seed):
+def slow_state_service_setup(seed):
     """Jobs are cancelled through every node while the state service answers slowly."""
     faults = [Fault("slow_state", 12.0, 28.0, share=0.5)]
     faults += [Fault("users_cancel", 16.0 + n, who=[n], share=0.5) for n in range(24)]
@@ -132,77 +142,82 @@
 
 def test_no_start_follows_a_cancellation_while_the_state_service_is_slow():
     for seed in SEEDS:
-        result, trace = run(slow(seed), log=True)
+        result, trace = run(slow_state_service_setup(seed), log=True)
         assert result.broken == [] and sum("told that req" in line for line in trace) > 10
 
 
-def test_starts_follow_cancellations_where_peers_are_not_told():
-    async def untold(self, ref, stamp, end_us):
+def test_starts_follow_cancellations_if_they_are_not_broadcast():
+    # Shows that the simulation detects the fault.
+    async def skip_broadcast(self, job_id, version, ended_at_us):
         return True
 
-    with mock.patch.object(PeerClient, "broadcast_cancellation", untold):
-        broken = [text for seed in SEEDS for text in run(slow(seed))[0].broken]
+    with mock.patch.object(PeerClient, "broadcast_cancellation", skip_broadcast):
+        broken = [text for seed in SEEDS for text in run(slow_state_service_setup(seed))[0].broken]
     assert any("is sent, told" in text for text in broken)
 
 
-# -- what is known ahead ---------------------------------------------------------------------------
+# -- a cancellation that is read before older records ----------------------------------------------
 
 
-def ahead():
-    """A leader that heard of a cancellation before the placement that was committed just before it."""
-    o = LeaderHarness(1, [Team("t", cpus_max=20.0)])
-    o.add_machine("m0", 0)
-    o.submit(spec("req-1", tasks=1, cpus=20.0))
-    o.put("r/0/req-1", RouteRecord("0"))
-    o.submit(spec("req-2", tasks=1, cpus=20.0), at=1)
-    o.ledger.txn({}, {"p/0/req-1/0": PlacementRecord({0: Placement("m0", 1, 1, 0)}, "0", 1)})
-    over = JobRecord(o.replica.jobs["req-1"].spec, 0, JobState.CANCELLED, o.now)
-    stamp = o.ledger.txn({}, {"j/req-1": over})
-    o.replica.put("j/req-1", stamp, msgspec.json.encode(over), o.now)
-    return o
+def leader_with_incomplete_replica():
+    """Return a leader that has read a cancellation, but not the placement committed just before it."""
+    leader = LeaderHarness(1, [Team("t", cpus_max=20.0)])
+    leader.add_machine("m0", 0)
+    leader.submit(spec("req-1", tasks=1, cpus=20.0))
+    leader.put("r/0/req-1", RouteRecord("0"))
+    leader.submit(spec("req-2", tasks=1, cpus=20.0), at=1)
+    leader.ledger.txn({}, {"p/0/req-1/0": PlacementRecord({0: Placement("m0", 1, 1, 0)}, "0", 1)})
+    cancelled = JobRecord(leader.replica.jobs["req-1"].spec, 0, JobState.CANCELLED, leader.now)
+    revision = leader.ledger.txn({}, {"j/req-1": cancelled})
+    leader.replica.put("j/req-1", revision, msgspec.json.encode(cancelled), leader.now)
+    return leader
 
 
-def test_leader_that_knows_of_an_end_ahead_of_the_rest_takes_its_limit_for_free():
-    # The hazard itself: what is planned from such a view is over the limit.
-    o = ahead()
-    assert not o.replica.is_complete_up_to_last_end
-    assert [plan.job.spec.job_id for plan in o.planner.plan(o.now, 0, o.now)] == ["req-2"]
+def test_plan_from_an_incomplete_replica_exceeds_the_team_limit():
+    # Shows the fault that the read barrier prevents.
+    leader = leader_with_incomplete_replica()
+    assert not leader.replica.is_complete_up_to_last_end
+    assert [plan.job.spec.job_id for plan in leader.planner.plan(leader.now, 0, leader.now)] == ["req-2"]
 
 
-def test_leader_reads_what_it_lacks_before_it_plans():
-    o = ahead()
-    o.ledger.feed(o.replica, o.now)
-    assert o.replica.is_complete_up_to_last_end and not o.planner.plan(o.now, 0, o.now)
+def test_leader_plans_within_the_limit_after_it_has_read_all_records():
+    leader = leader_with_incomplete_replica()
+    leader.ledger.feed(leader.replica, leader.now)
+    assert leader.replica.is_complete_up_to_last_end and not leader.planner.plan(leader.now, 0, leader.now)
 
 
-@pytest.mark.parametrize("served", [True, False])
-def test_no_pass_of_the_leader_before_its_view_is_complete(served):
-    o = ahead()
+@pytest.mark.parametrize("reachable", [True, False])
+def test_leader_makes_no_pass_before_its_replica_is_complete(reachable):
+    leader = leader_with_incomplete_replica()
     plans = []
 
-    async def fresh():
-        if served:
-            o.ledger.feed(o.replica, o.now)
-        return served
+    async def read_barrier():
+        if reachable:
+            leader.ledger.feed(leader.replica, leader.now)
+        return reachable
 
-    async def done(*args):
+    async def do_nothing(*args):
         return None
 
     def plan():
-        plans.append(o.replica.is_complete_up_to_last_end)
+        plans.append(leader.replica.is_complete_up_to_last_end)
         return []
 
-    chief = SimpleNamespace(
-        replica=o.replica, read_barrier=fresh, fix_shard_layout=done, plan=plan, write_routes=done
+    leadership = SimpleNamespace(
+        replica=leader.replica,
+        read_barrier=read_barrier,
+        fix_shard_layout=do_nothing,
+        plan=plan,
+        write_routes=do_nothing,
     )
-    holding = SimpleNamespace(leadership=chief, may_act=lambda: True)
+    held_leases = SimpleNamespace(leadership=leadership, may_act=lambda: True)
 
     async def one_pass():
-        due = asyncio.Event()
-        due.set()
+        pass_requested = asyncio.Event()
+        pass_requested.set()
         settings = LeadingSettings(step_ms=1)
         store = SimpleNamespace(unavailable_since_us=None)
-        await LeaderLoop(settings, holding, store, None, {}, due, lambda: None).plan_routes()
+        await LeaderLoop(settings, held_leases, store, None, {}, pass_requested, lambda: None).plan_routes()
 
     asyncio.run(one_pass())
-    assert plans == ([True] if served else [])
+    assert plans == ([True] if reachable else [])
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,5 +1,5 @@
-"""Settings files as operators write them: every value, what is derived from it, and the words in which a
-wrong one is refused.
+"""Settings files in their released form: the loaded values, the values derived from them, and the error text
+for each invalid file.
 """
 
 import pytest
@@ -145,7 +145,7 @@
     return node_settings.load(str(files.path(f"settings/{platform}")), tuning)
 
 
-def test_every_file_of_the_area_is_looked_at():
+def test_every_golden_settings_file_is_tested():
     names = {name for pair in NODES.values() for name in pair if name} | {"refusals.json"}
     names |= {f"{name}.yaml" for name in SERVICES}
     assert files.names("settings") == {f"settings/{name}" for name in names}
@@ -159,7 +159,7 @@
         ("required", PLATFORM_REQUIRED, TUNING_DEFAULTS),
     ],
 )
-def test_a_controllers_files_have_these_values(name, platform, tuning):
+def test_controller_settings_files_load_with_these_values(name, platform, tuning):
     loaded = load(name)
     assert files.fields(loaded.platform) == platform
     assert files.fields(loaded.tuning) == tuning
@@ -168,24 +168,24 @@
 @pytest.mark.parametrize(
     "name, derived, owner", [("whole", DERIVED, OWNER), ("required", DERIVED_REQUIRED, OWNER_REQUIRED)]
 )
-def test_what_is_derived_from_them_is_what_it_was(name, derived, owner):
+def test_values_derived_from_controller_settings_are_unchanged(name, derived, owner):
     loaded = load(name)
     assert files.fields({name: getattr(loaded, name) for name in derived}) == derived
     assert files.fields(vars(node_settings.owner_config(loaded))) == owner
 
 
-def test_the_file_of_the_environment_is_taken(monkeypatch):
+def test_tuning_file_named_in_the_environment_is_loaded(monkeypatch):
     monkeypatch.setenv("PEARSTEP_TUNING", str(files.path("settings/operators_all.yaml")))
     assert files.fields(load("required").tuning) == TUNING
 
 
 @pytest.mark.parametrize("name", SERVICES)
-def test_the_other_processes_files_have_these_values(name):
+def test_settings_files_of_other_processes_load_with_these_values(name):
     module, values = SERVICES[name]
     assert files.fields(module.load(str(files.path(f"settings/{name}.yaml")))) == values
 
 
-def test_what_is_derived_of_them_is_what_it_was():
+def test_values_derived_from_settings_of_other_processes_are_unchanged():
     archive = archive_settings.load(str(files.path("settings/archive_all.yaml")))
     assert archive.retention.rules() == RULES
     federation = federation_settings.load(str(files.path("settings/federation_all.yaml")))
@@ -203,10 +203,10 @@
 
 
 @pytest.mark.parametrize("name", REFUSALS)
-def test_what_is_wrong_is_refused_in_the_same_words(name, tmp_path):
-    kind, text, why = (REFUSALS[name][part] for part in ("kind", "text", "why"))
+def test_invalid_settings_are_rejected_with_the_same_text(name, tmp_path):
+    kind, text, expected_error = (REFUSALS[name][part] for part in ("kind", "text", "why"))
     file = tmp_path / "file"
     file.write_text(text)
     with pytest.raises(ERRORS) as raised:
         LOADERS[kind](str(file))
-    assert str(raised.value).replace(str(tmp_path), "FOLDER") == why
+    assert str(raised.value).replace(str(tmp_path), "FOLDER") == expected_error
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -1,5 +1,5 @@
-"""Every record of the state service, under its key, as released code stores it: read, looked at field by
-field, written again, byte for byte.
+"""Records in the state service as released code stores them: they decode under their keys to the same fields,
+and encode to the same bytes.
 """
 
 import asyncio
@@ -131,14 +131,14 @@
     return files.read(f"state/{name}.json")
 
 
-def test_every_file_of_the_area_is_looked_at():
+def test_every_golden_state_file_is_tested():
     others = {"keys", "keys_of_files", "history_block", "root_keys_of_ids"}
     assert files.names("state") == {f"state/{name}.json" for name in {*ALL, *others}}
     assert KEYS.keys() == ALL.keys()
 
 
 @pytest.mark.parametrize("name", ALL)
-def test_a_record_has_these_fields_and_is_written_as_it_was(name):
+def test_record_decodes_to_these_fields_and_encodes_to_the_same_bytes(name):
     kind, values = ALL[name]
     record = msgspec.json.decode(stored(name), type=kind)
     assert files.fields(record) == values
@@ -146,13 +146,13 @@
 
 
 @pytest.mark.parametrize("name", CORE)
-def test_the_core_reads_a_record_by_its_key(name):
+def test_core_record_is_decoded_by_its_key(name):
     kind, values = CORE[name]
     record = records.decode_record(KEYS[name], stored(name))
     assert type(record) is kind and files.fields(record) == values
 
 
-def test_keys_are_built_as_they_were():
+def test_keys_are_unchanged():
     assert files.table("state/keys.json") == {
         "route of req-7 in part 3": records.route_key(3, "req-7"),
         "placements of chunk 2 of req-7 in part 3": records.placement_key(3, "req-7", 2),
@@ -171,69 +171,76 @@
     }
 
 
-def view_of(names):
-    """A view that has read these files under their keys; the stamp is the place in the order."""
-    view = Replica()
-    loans = OffloadRecords(view, lambda key: None)
-    for stamp, name in enumerate(names, 1):
-        assert view.put(KEYS[name], stamp, stored(name), 0)
-    assert not view.unreadable
-    return view, loans
+def replica_of(names):
+    """Return a replica that has read these files under their keys; versions follow the order of the names."""
+    replica = Replica()
+    offloads = OffloadRecords(replica, lambda key: None)
+    for version, name in enumerate(names, 1):
+        assert replica.put(KEYS[name], version, stored(name), 0)
+    assert not replica.unreadable
+    return replica, offloads
 
 
-def test_the_view_finds_each_kind_under_its_key():
-    # A job that is over never waits again, so its end comes last.
+def test_replica_reads_each_kind_of_record_under_its_key():
+    # A job that has ended is never queued again, so its final record comes last.
     names = [name for name in CORE | LOANS if name != "job_cancelled"] + ["job_cancelled"]
-    view, loans = view_of(names)
-    wide, plain = view.jobs["req-000412"], view.jobs["req-7"]
+    replica, offloads = replica_of(names)
+    wide, plain = replica.jobs["req-000412"], replica.jobs["req-7"]
     assert (wide.state, wide.is_final, plain.state) == ("done", True, "cancelled")
     assert sorted(wide.routes) == [3] and sorted(plain.routes) == [0]
     assert sorted(wide.placements) == [(3, 0)] and sorted(plain.placements) == [(0, 1)]
-    assert {name: part for name, (part, _) in view.machines.items()} == {"i-1": 3, "i-2": 0}
-    assert sorted(view.drains) == ["i-1"]
-    assert sorted(view.instance_requests) == ["n0-12-1", "n0-12-2", "n0-12-3"]
-    held = {part: (h.node, h.fencing_token, h.node_version) for part, h in view.shard_holders.items()}
-    stamps = {name: stamp for stamp, name in enumerate(names, 1)}
-    assert held == {3: ("node-3", stamps["part_held"], 2), 4: ("", stamps["part_given_up"], 0)}
-    assert (view.leader.node, view.leader.fencing_token, view.leader.node_version) == (
+    assert {name: shard_id for name, (shard_id, _) in replica.machines.items()} == {"i-1": 3, "i-2": 0}
+    assert sorted(replica.drains) == ["i-1"]
+    assert sorted(replica.instance_requests) == ["n0-12-1", "n0-12-2", "n0-12-3"]
+    holders = {
+        shard_id: (holder.node, holder.fencing_token, holder.node_version)
+        for shard_id, holder in replica.shard_holders.items()
+    }
+    versions = {name: version for version, name in enumerate(names, 1)}
+    assert holders == {3: ("node-3", versions["part_held"], 2), 4: ("", versions["part_given_up"], 0)}
+    assert (replica.leader.node, replica.leader.fencing_token, replica.leader.node_version) == (
         "node-0",
-        stamps["leader_held"],
+        versions["leader_held"],
         1,
     )
-    assert files.fields(view.layout) == {"zones": []}
-    assert sorted(loans.origin_records) == ["req-000412", "req-7"]
-    assert sorted(loans.remote_records) == [("south", "req-000412"), ("south", "req-7")]
-    assert sorted(loans.peers) == ["north", "south"]
-    assert (loans.open_origin, loans.open_remote) == ({"req-000412"}, {("south", "req-000412")})
+    assert files.fields(replica.layout) == {"zones": []}
+    assert sorted(offloads.origin_records) == ["req-000412", "req-7"]
+    assert sorted(offloads.remote_records) == [("south", "req-000412"), ("south", "req-7")]
+    assert sorted(offloads.peers) == ["north", "south"]
+    assert (offloads.open_origin, offloads.open_remote) == ({"req-000412"}, {("south", "req-000412")})
 
 
-def test_the_view_forgets_each_kind_under_its_key():
+def test_replica_deletes_each_kind_of_record_under_its_key():
     names = [name for name in CORE | LOANS if not name.startswith("job_")]
-    view, loans = view_of(["job_all", "job_defaults", *names])
-    for name in dict.fromkeys(KEYS[name] for name in names):
-        assert view.delete(name, 1000)
-    wide, plain = view.jobs["req-000412"], view.jobs["req-7"]
+    replica, offloads = replica_of(["job_all", "job_defaults", *names])
+    for key in dict.fromkeys(KEYS[name] for name in names):
+        assert replica.delete(key, 1000)
+    wide, plain = replica.jobs["req-000412"], replica.jobs["req-7"]
     assert not (wide.routes or plain.routes or wide.placements or plain.placements)
-    assert not (view.machines or view.drains or view.instance_requests or view.shard_holders)
-    assert view.leader is None and view.layout is None
+    assert not (replica.machines or replica.drains or replica.instance_requests or replica.shard_holders)
+    assert replica.leader is None and replica.layout is None
     assert not (
-        loans.origin_records or loans.remote_records or loans.peers or loans.open_origin or loans.open_remote
+        offloads.origin_records
+        or offloads.remote_records
+        or offloads.peers
+        or offloads.open_origin
+        or offloads.open_remote
     )
     for key in ("j/req-000412", "j/req-7"):
-        assert view.delete(key, 1000)
-    assert not view.jobs and not view.versions
+        assert replica.delete(key, 1000)
+    assert not replica.jobs and not replica.versions
 
 
-def test_a_node_without_the_extensions_notices_their_keys():
-    view = Replica()
-    assert not view.put(KEYS["history_root_all"], 1, stored("history_root_all"), 0)
-    assert (view.has_unread_history, view.has_unread_offloads) == (True, False)
-    assert not view.put(KEYS["loan_home_all"], 2, stored("loan_home_all"), 0)
-    assert view.has_unread_offloads
-    assert view.unreadable == ["hr/5", "l/req-000412"]
+def test_node_without_the_extensions_detects_their_keys():
+    replica = Replica()
+    assert not replica.put(KEYS["history_root_all"], 1, stored("history_root_all"), 0)
+    assert (replica.has_unread_history, replica.has_unread_offloads) == (True, False)
+    assert not replica.put(KEYS["loan_home_all"], 2, stored("loan_home_all"), 0)
+    assert replica.has_unread_offloads
+    assert replica.unreadable == ["hr/5", "l/req-000412"]
 
 
-def test_a_block_of_the_history_is_read_and_packed_as_it_was():
+def test_history_block_decodes_and_packs_unchanged():
     text = msgspec.json.decode(stored("history_block"), type=str)
     entries = unpack(text.encode())
     assert files.fields(entries) == [
@@ -241,26 +248,28 @@
         {"number": 1_000_412, "cancelled": True, "done": 0},
         {"number": 12_345_678_901_234_567_890, "cancelled": False, "done": 100_000},
     ]
-    again = [
+    entries_to_pack = [
         Final(1_000_007, False, 2),
         Final(1_000_412, True, 0),
         Final(12_345_678_901_234_567_890, False, 100_000),
     ]
-    assert [msgspec.json.encode(block.decode()) for block in pack(again, 16_384)] == [stored("history_block")]
+    assert [msgspec.json.encode(block.decode()) for block in pack(entries_to_pack, 16_384)] == [
+        stored("history_block")
+    ]
 
 
-def test_the_history_is_read_under_its_keys():
-    view = Replica()
+def test_history_is_read_under_its_keys():
+    replica = Replica()
     store = SimpleNamespace(is_unavailable=lambda: True)
-    reader = Reader(view, store, None, 4, 4)
+    reader = Reader(replica, store, None, 4, 4)
     raw = msgspec.json.encode([[["11-0", 0, 3, [1_000_007]]], 3])
-    assert view.put("hr/5", 1, raw, 0) and view.put("zb/5/11-0/0", 2, stored("history_block"), 0)
-    assert view.put(KEYS["compactor"], 3, stored("compactor"), 0)
+    assert replica.put("hr/5", 1, raw, 0) and replica.put("zb/5/11-0/0", 2, stored("history_block"), 0)
+    assert replica.put(KEYS["compactor"], 3, stored("compactor"), 0)
     assert sorted(reader.roots) == [5] and reader.history.filled(5, "11-0") and not reader.damaged
     assert reader.compactor == stored("compactor")
 
 
-@pytest.mark.parametrize("ref, key", files.table("state/root_keys_of_ids.json").items())
-def test_an_id_belongs_to_the_bucket_that_it_had(ref, key):
+@pytest.mark.parametrize("job_id, key", files.table("state/root_keys_of_ids.json").items())
+def test_job_id_belongs_to_the_same_bucket(job_id, key):
     reader = Reader(Replica(), SimpleNamespace(is_unavailable=lambda: True), None, 4, 4)
-    assert asyncio.run(reader.find(ref)) == {key: 0}
+    assert asyncio.run(reader.find(job_id)) == {key: 0}
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a controller node carries: nothing of the archive, the worker, the stand-ins or their libraries."""
+"""Import rules: packages import only lower layers, and a controller node loads only the code that it runs."""
 
 import ast
 import subprocess
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-ORDER = ["domain", "scheduling", "state", "failure_detection", "shard", "leader", "protocol", "transport"]
-ORDER += [
+LAYERS = ["domain", "scheduling", "state", "failure_detection", "shard", "leader", "protocol", "transport"]
+LAYERS += [
     "controller",
     "jobs",
     "archive",
@@ -21,15 +21,15 @@
 ]
 
 
-def test_a_node_imports_nothing_of_what_it_does_not_run():
+def test_controller_node_imports_only_the_packages_that_it_runs():
     code = (
         "import sys, pearstep.cli.node, pearstep.controller.controller\n"
         "print(' '.join(sorted(m for m in sys.modules if m.startswith('pearstep.') or '.' not in m)))"
     )
-    out = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout
-    loaded = set(out.split())
+    loaded = set(output.split())
     packages = {m.split(".")[1] for m in loaded if m.startswith("pearstep.")}
     assert packages == {
         "cli",
@@ -56,7 +56,7 @@
 
 
 def imported_packages(file: Path) -> set[str]:
-    """The packages of pearstep that a module imports, wherever the import stands."""
+    """Return the packages of pearstep that a module imports, at its top or inside functions."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.ImportFrom):
@@ -70,15 +70,15 @@
     return found
 
 
-def test_no_import_runs_upward():
-    wrong = []
+def test_packages_import_only_lower_layers():
+    violations = []
     for file in (ROOT / "pearstep").rglob("*.py"):
         parts = file.relative_to(ROOT / "pearstep").parts
         if len(parts) < 2:
             continue
-        assert parts[0] in ORDER, f"{parts[0]} has no place in the order"
+        assert parts[0] in LAYERS, f"{parts[0]} has no layer"
         for target in imported_packages(file):
-            if target in ORDER and ORDER.index(target) > ORDER.index(parts[0]):
-                wrong.append(f"{'/'.join(parts)}: {target}")
-    # Messages speak of the domain's kinds, and the domain of no messages.
-    assert wrong == []
+            if target in LAYERS and LAYERS.index(target) > LAYERS.index(parts[0]):
+                violations.append(f"{'/'.join(parts)}: {target}")
+    # For example, messages use the domain's types, and the domain uses no messages.
+    assert violations == []
