--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -23,14 +23,14 @@
 from pearstep.transport.clock import now_us
 from tests.test_leader import LeaderHarness
 from tests.test_users import JOB, scenario
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 
 def test_late_placement_answer_starts_nothing_after_a_cancellation():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.submit(spec(tasks=1))
-    world.step()
+    world.run_pass()
     # The placement is committed, but its answer is slow, and the job is cancelled before it arrives.
     batch = world.owner.gather_commit(world.now, world.now)
     revision = world.ledger.txn(
@@ -43,14 +43,14 @@
 
 
 def test_owner_without_the_state_service_starts_nothing():
-    world = World()
+    world = ShardHarness()
     machine, name, attempt = world.place_one()
     machine_state = world.owner.machines[machine]
     assert world.owner.commands_for(machine_state) == [("start", name, attempt, None)]
     # Another controller may have confirmed a cancellation of the job that this owner has not read.
     assert world.owner.commands_for(machine_state, starts=False) == []
     world.owner.on_commands_sent(machine_state, [Command(CommandAction.START, name, attempt)], world.now)
-    world.owner.stop(next(iter(machine_state.attempts.values())), 0, world.now, world.step())
+    world.owner.stop(next(iter(machine_state.attempts.values())), 0, world.now, world.run_pass())
     assert [action for action, *_ in world.owner.commands_for(machine_state, starts=False)] == ["stop"]
 
 
@@ -182,7 +182,7 @@
 
 def test_leader_plans_within_the_limit_after_it_has_read_all_records():
     leader = leader_with_incomplete_replica()
-    leader.ledger.feed(leader.replica, leader.now)
+    leader.ledger.update_replica(leader.replica, leader.now)
     assert leader.replica.is_complete_up_to_last_end and not leader.planner.plan(leader.now, 0, leader.now)
 
 
@@ -193,7 +193,7 @@
 
     async def read_barrier():
         if reachable:
-            leader.ledger.feed(leader.replica, leader.now)
+            leader.ledger.update_replica(leader.replica, leader.now)
         return reachable
 
     async def do_nothing(*args):
--- a/tests/test_faulty.py
+++ b/tests/test_faulty.py
@@ -9,13 +9,13 @@
 from pearstep.shard.commands import ShardActions
 from pearstep.state.records import TASKS_PER_RECORD
 from tests.test_leader import LeaderHarness
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 
 def fail_started_tasks(world):
     """Let every started task fail; return the number of failed tasks by job."""
     failed = {}
-    for machine, task, number in sorted(world.starts(world.run())):
+    for machine, task, number in sorted(world.starts(world.run_and_commit())):
         world.report(machine, (task, number, "exited", "error"))
         failed[task.split("/")[0]] = failed.get(task.split("/")[0], 0) + 1
     world.commit()
@@ -23,14 +23,14 @@
 
 
 def test_faulty_array_is_retried_one_task_at_a_time_also_after_a_takeover():
-    world = World()
+    world = ShardHarness()
     for n in range(4):
-        world.machine(f"m{n}")
+        world.add_machine(f"m{n}")
     world.submit(spec(tasks=12))
     assert fail_started_tasks(world)["req-1"] == 12
     retries = []
     for _ in range(30):
-        world.later(5)
+        world.advance_clock(5)
         for n in range(4):
             world.report(f"m{n}")
         retries.append(fail_started_tasks(world).get("req-1", 0))
@@ -40,7 +40,7 @@
         world.report(f"m{n}")
     assert sum(len(m.attempts) for m in world.owner.machines.values()) == 0
     assert fail_started_tasks(world).get("req-1", 0) <= 1
-    assert not world.view.drains
+    assert not world.replica.drains
 
 
 def test_two_faulty_jobs_on_one_machine_do_not_make_it_faulty():
@@ -112,7 +112,7 @@
 def test_number_of_tasks_routed_to_a_shard_is_limited_on_an_idle_fleet():
     office = LeaderHarness(shard_count=3)
     for n in range(30):
-        office.add_machine(f"m{n}", n % 3, mtype="big")
+        office.add_machine(f"m{n}", n % 3, machine_type="big")
     office.submit(spec(tasks=25_000, cpus=0.25, memory_gb=0.9))
     for _ in range(3):
         office.now += 10 * SECOND_US
@@ -123,16 +123,16 @@
 
 
 def test_record_of_many_running_tasks_stays_within_the_value_size_limit():
-    world = World()
+    world = ShardHarness()
     for n in range(8):
-        world.machine(f"i-00000{n}", mtype="big")
+        world.add_machine(f"i-00000{n}", machine_type="big")
     world.submit(spec(tasks=5_000, cpus=0.25, memory_gb=0.5))
     for _ in range(5):
-        world.run()
-        world.later(1)
+        world.run_and_commit()
+        world.advance_clock(1)
         for name, machine in world.owner.machines.items():
             world.report(
-                name, *[(a.name, a.number, "running") for a in machine.attempts.values()], mtype="big"
+                name, *[(a.name, a.number, "running") for a in machine.attempts.values()], machine_type="big"
             )
     draft = world.owner.drafts["req-1", 0]
     draft.done_tasks |= sum(1 << task for task in range(0, TASKS_PER_RECORD, 2))
@@ -140,7 +140,7 @@
 
 
 def test_end_of_a_job_replaces_its_last_placement_record():
-    world = World()
+    world = ShardHarness()
     machine, name, number = world.place_one()
     world.report(machine, (name, number, "running"))
     world.report(machine, (name, number, "exited", "done"))
@@ -149,27 +149,27 @@
     revision = world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
     world.owner.on_committed(batch, revision, ShardActions())
     world.catch_up()
-    job = world.view.jobs["req-1"]
+    job = world.replica.jobs["req-1"]
     assert (
         job.state == "done"
         and not job.placed_tasks
-        and "req-1" not in world.view.open_jobs
-        and "m0" not in world.view.placements_by_machine
+        and "req-1" not in world.replica.open_jobs
+        and "m0" not in world.replica.placements_by_machine
     )
     assert ("forget", name, number, None) in world.report(machine, (name, number, "exited", "done"))
     assert not world.take_over().drafts.get(("req-1", 0)).attempts
 
 
 def test_small_jobs_are_committed_beside_a_record_that_always_changes():
-    world = World(txn_ops=2)
-    world.machine("m0", mtype="big")
+    world = ShardHarness(txn_ops=2)
+    world.add_machine("m0", machine_type="big")
     world.submit(spec("req-0", tasks=500, cpus=0.1, memory_gb=0.1))
     for n in range(1, 6):
         world.submit(spec(f"req-{n}", tasks=1, cpus=0.1, memory_gb=0.1))
-    world.step()
+    world.run_pass()
     committed = set()
     for _ in range(8):
-        world.later(1)
+        world.advance_clock(1)
         batch = world.owner.gather_commit(world.now, world.now)
         committed.update(draft.spec.job_id for draft in batch.drafts)
         revision = world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
@@ -181,17 +181,17 @@
 def test_job_is_retried_on_the_only_machine_after_the_avoidance_time():
     # Seen (simulation, seed 1184): the only machine of a shard was temporarily faulty. No other machine was
     # rented, because this one had free resources, and the job was never retried.
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.submit(spec(tasks=1))
     assert fail_started_tasks(world) == {"req-1": 1}
     for _ in range(MAX_BACKOFF_S // 5 - 1):
-        world.later(5)
+        world.advance_clock(5)
         world.report("m0")
-        assert not world.starts(world.run())
+        assert not world.starts(world.run_and_commit())
     for _ in range(3):
-        world.later(5)
+        world.advance_clock(5)
         world.report("m0")
-        if world.starts(world.run()):
+        if world.starts(world.run_and_commit()):
             return
     raise AssertionError("never tried again")
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -14,7 +14,7 @@
 from pearstep.state.records import LeaseHolderRecord, RouteRecord
 from pearstep.state.replica import Replica
 from pearstep.transport.kv_client import CommitOutcome, CommitResult
-from tests.world import Ledger
+from tests.world import FakeKeyValueStore
 
 
 class Service:
@@ -23,9 +23,9 @@
     """
 
     def __init__(self):
-        self.ledger, self.view = Ledger(), Replica()
+        self.ledger, self.view = FakeKeyValueStore(), Replica()
         self.ledger.txn({}, {"leader": LeaseHolderRecord("n0")})
-        self.ledger.feed(self.view)
+        self.ledger.update_replica(self.view)
         self.ends, self.pending, self.asked = [], [], 0
 
     async def commit(self, conditions, puts, deletes=None, urgency=0):
@@ -47,7 +47,7 @@
         )
 
     async def fresh(self):
-        self.ledger.feed(self.view)
+        self.ledger.update_replica(self.view)
         return True
 
     def applied(self, key, stamp, value):
--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.world import walk
+from tests.world import explore_states
 
 MAX_SEQUENCE = 7
 
@@ -149,7 +149,7 @@
 
 def explore(guards: frozenset[str]) -> tuple[int, str]:
     """Return the number of states and the first violation."""
-    return walk(State(), lambda state: next_states(state, guards), find_violation)
+    return explore_states(State(), lambda state: next_states(state, guards), find_violation)
 
 
 def test_late_heartbeats_and_commands_cause_no_violation():
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -22,7 +22,7 @@
     derive_timeouts,
 )
 from pearstep.state.records import JobRecord
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 OPERATOR_MAXIMA_US = (6 * SECOND_US, 3 * SECOND_US, 10 * SECOND_US)
 
@@ -137,31 +137,31 @@
 
 
 def test_replica_lists_jobs_cancelled_after_a_revision():
-    world = World()
+    world = ShardHarness()
     for n in range(3):
         world.submit(spec(f"req-{n}"))
     for n in (2, 0):
         world.put(f"j/req-{n}", JobRecord(spec(f"req-{n}"), world.now, JobState.CANCELLED, world.now + n))
-    found = world.view.cancelled_after(0)
+    found = world.replica.cancelled_after(0)
     assert [job_id for job_id, _, _ in found] == ["req-2", "req-0"] and found[0][2] == world.now + 2
-    assert [job_id for job_id, _, _ in world.view.cancelled_after(found[0][1])] == ["req-0"]
-    assert world.view.cancelled_after(world.view.revision) == []
+    assert [job_id for job_id, _, _ in world.replica.cancelled_after(found[0][1])] == ["req-0"]
+    assert world.replica.cancelled_after(world.replica.revision) == []
 
 
 def test_machine_is_not_drained_as_stuck_right_after_a_late_cancellation():
     # An outage hid the cancellation for longer than half of the time after which its tasks must have ended.
-    world = World()
+    world = ShardHarness()
     machine, task, number = world.place_one()
     world.report(machine, (task, number, "running"))
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now - 30 * SECOND_US))
-    world.run()
-    assert machine not in world.view.drains
+    world.run_and_commit()
+    assert machine not in world.replica.drains
     assert ("stop", task, number, 0.0) in world.report(machine, (task, number, "running"))
     for _ in range(4):
-        world.later(2)
+        world.advance_clock(2)
         world.report(machine, (task, number, "running"))
-        world.run()
-    assert world.view.drains[machine].reason == "stuck"
+        world.run_and_commit()
+    assert world.replica.drains[machine].reason == "stuck"
 
 
 # -- the state service refuses one node, then all nodes ---------------------------------------------
--- a/tests/test_knowledge_model.py
+++ b/tests/test_knowledge_model.py
@@ -12,7 +12,7 @@
 import pytest
 
 from pearstep.failure_detection.staleness import NEVER_US, StalenessBound
-from tests.world import walk
+from tests.world import explore_states
 
 CANCEL_DEADLINE, LEASE_DURATION = 4, 2
 STALENESS_LIMIT = CANCEL_DEADLINE - LEASE_DURATION
@@ -174,7 +174,9 @@
 
 def explore(guards: frozenset[str]) -> tuple[int, str]:
     """Return the number of states and the first violation."""
-    return walk(State(), lambda state: next_states(state, guards), find_violation, can_still_violate)
+    return explore_states(
+        State(), lambda state: next_states(state, guards), find_violation, can_still_violate
+    )
 
 
 def test_no_order_of_events_keeps_a_cancelled_task_past_the_deadline():
--- a/tests/test_later_meetings.py
+++ b/tests/test_later_meetings.py
@@ -26,7 +26,7 @@
 from pearstep.transport.kv_client import KeyValueStore
 from tests.test_meetings import holds, times, told
 from tests.test_meetings import setup as meeting
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 setup = partial(meeting, rest_s=45.0)
 
@@ -193,13 +193,13 @@
 
 def test_nothing_is_placed_on_a_machine_before_its_record_is_committed():
     def first_write(*patches):
-        w = World()
+        w = ShardHarness()
         w.report("m0")
         w.submit(spec(tasks=1))
         with ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
-            w.step()
+            w.run_pass()
         return {key[0] for key in w.owner.gather_commit(w.now, w.now).puts}
 
     assert first_write() == {"m"}
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -18,14 +18,14 @@
     RouteRecord,
 )
 from pearstep.state.replica import Replica
-from tests.world import TYPES, Ledger, machine_rec, spec
+from tests.world import TYPES, FakeKeyValueStore, machine_record, spec
 
 
 class LeaderHarness:
     """A route planner and an autoscaler over a replica, with a ledger in place of the state service."""
 
     def __init__(self, shard_count=2, teams=()):
-        self.ledger = Ledger()
+        self.ledger = FakeKeyValueStore()
         self.replica = Replica()
         self.now = 100 * SECOND_US
         for shard_id in range(shard_count):
@@ -36,10 +36,10 @@
 
     def put(self, key, value):
         self.ledger.txn({}, {key: value})
-        self.ledger.feed(self.replica, getattr(self, "now", 0))
+        self.ledger.update_replica(self.replica, getattr(self, "now", 0))
 
     def add_machine(self, name, shard_id, **record_fields):
-        self.put(f"m/{shard_id}/{name}", machine_rec(**record_fields))
+        self.put(f"m/{shard_id}/{name}", machine_record(**record_fields))
 
     def submit(self, job, at=0):
         self.put(f"j/{job.job_id}", JobRecord(job, at))
@@ -49,7 +49,7 @@
         for plan in self.planner.plan(self.now, 2 * SECOND_US, self.now):
             puts, conditions = plan.writes()
             assert isinstance(self.ledger.txn(conditions, puts), int)
-        self.ledger.feed(self.replica, self.now)
+        self.ledger.update_replica(self.replica, self.now)
         return {
             (job_id, shard_id): route.tasks
             for job_id, job in self.replica.jobs.items()
@@ -229,7 +229,7 @@
     leader = LeaderHarness()
     leader.autoscaler.config.consolidation_interval_us = SECOND_US
     for name in ("m0", "m1"):
-        leader.add_machine(name, 0, mtype="big")
+        leader.add_machine(name, 0, machine_type="big")
     leader.submit(spec("req-1", tasks=5, gpus=1.0, estimate_us=500 * SECOND_US))
     leader.record_placements(0, "req-1", [0, 1, 2, 3], "m0")
     leader.submit(spec("req-2", tasks=1, gpus=1.0, estimate_us=500 * SECOND_US))
@@ -362,7 +362,7 @@
     leader.autoscaler.observe(leader.now, leader.now)
     leader.now += 90 * SECOND_US
     leader.ledger.txn({}, {}, ["m/0/m0"])
-    leader.ledger.feed(leader.replica, leader.now)
+    leader.ledger.update_replica(leader.replica, leader.now)
     assert set(leader.autoscaler.plan_scale_in([], leader.now, leader.now)) == {"m1"}
 
 
@@ -372,7 +372,7 @@
     leader.submit(spec("req-1", tasks=2))
     leader.record_placements(0, "req-1", [0, 1])
     leader.ledger.txn({}, {}, ["j/req-1"])
-    leader.ledger.feed(leader.replica, leader.now)
+    leader.ledger.update_replica(leader.replica, leader.now)
     assert "p/0/req-1/0" in leader.ledger.keys and not leader.replica.placements_by_machine
     leader.submit(spec("req-2", tasks=9))
     leader.plan_routes()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -30,7 +30,7 @@
 from pearstep.state.job import Job
 from pearstep.state.records import JobRecord, Placement, PlacementRecord, RouteRecord
 from pearstep.state.replica import Replica
-from tests.world import TYPES, Ledger, spec
+from tests.world import TYPES, FakeKeyValueStore, spec
 
 S = 1_000_000
 NEED = ResourceAmounts(1.0, 0.0, 1.0)
@@ -40,7 +40,7 @@
     """The records of a cluster, and a view of them."""
 
     def __init__(self):
-        self.ledger = Ledger()
+        self.ledger = FakeKeyValueStore()
         self.view = Replica()
         self.changed = []
         self.loans = OffloadRecords(self.view, self.changed.append)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -5,14 +5,14 @@
 from pearstep.protocol.controller_messages import OPERATION_TO_WIRE, encode_commands
 from pearstep.shard.commands import Command, CommandAction, Heartbeat, ShardActions
 from pearstep.state.records import DrainRecord, JobRecord, PlacementRecord, RouteRecord
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 
 def test_start_is_sent_only_after_its_placement_is_committed():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec())
-    world.step()
+    world.run_pass()
     assert world.report("m1") == []  # placed but not committed: no command may be sent
     actions = world.commit()
     assert world.starts(actions) == {("m1", "req-1/0", 1), ("m1", "req-1/1", 2)}
@@ -20,213 +20,213 @@
 
 
 def test_job_ends_with_its_last_task_and_the_task_is_forgotten_afterwards():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.report("m1", ("req-1/0", 1, "running"))
     assert world.report("m1", ("req-1/0", 1, "exited", "done")) == []  # not recorded yet: no forget command
-    world.run()
-    assert world.view.jobs["req-1"].state == "done"
+    world.run_and_commit()
+    assert world.replica.jobs["req-1"].state == "done"
     assert ("forget", "req-1/0", 1, None) in world.report("m1", ("req-1/0", 1, "exited", "done"))
 
 
 def test_silent_machine_keeps_its_task_until_its_lease_has_certainly_expired():
-    world = World(machine_silence_us=1000 * SECOND_US)
-    world.machine("m1")
-    world.machine("m2")
+    world = ShardHarness(machine_silence_us=1000 * SECOND_US)
+    world.add_machine("m1")
+    world.add_machine("m2")
     world.submit(spec(tasks=1))
-    ((machine, _, _),) = world.starts(world.run())
+    ((machine, _, _),) = world.starts(world.run_and_commit())
     world.report(machine, ("req-1/0", 1, "running"))
     other = "m2" if machine == "m1" else "m1"
-    world.later(15)
+    world.advance_clock(15)
     world.report(other)
-    assert not world.starts(world.run())
-    world.later(3)
+    assert not world.starts(world.run_and_commit())
+    world.advance_clock(3)
     world.report(other)
-    assert {m for m, _, _ in world.starts(world.run())} == {other}
+    assert {m for m, _, _ in world.starts(world.run_and_commit())} == {other}
 
 
 def test_lease_expiry_does_not_free_tasks_before_the_machine_has_our_token():
-    world = World(machine_silence_us=1000 * SECOND_US)
-    world.machine("m1")
+    world = ShardHarness(machine_silence_us=1000 * SECOND_US)
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.take_over()
-    world.later(500)
-    world.machine("m2")
-    assert not world.starts(world.run())
+    world.advance_clock(500)
+    world.add_machine("m2")
+    assert not world.starts(world.run_and_commit())
     world.report("m1", session=2)  # a new session: the worker has killed all its tasks
-    assert {n for _, _, n in world.starts(world.run())} == {2}
+    assert {n for _, _, n in world.starts(world.run_and_commit())} == {2}
 
 
 def test_silent_machine_is_drained_as_lost_then_deleted_then_its_task_is_freed():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.take_over()
-    world.machine("m2")
-    world.later(11)
+    world.add_machine("m2")
+    world.advance_clock(11)
     world.report("m2")
-    world.run()
-    assert world.view.drains["m1"].reason == "lost"
-    assert world.step().machines_to_delete == ["m1"]
-    assert not world.starts(world.run())
+    world.run_and_commit()
+    assert world.replica.drains["m1"].reason == "lost"
+    assert world.run_pass().machines_to_delete == ["m1"]
+    assert not world.starts(world.run_and_commit())
     world.owner.on_machine_deleted("m1", world.now, world.now)
     world.report("m2")
-    assert {m for m, _, _ in world.starts(world.run())} == {"m2"}
+    assert {m for m, _, _ in world.starts(world.run_and_commit())} == {"m2"}
     assert world.report("m1", ("req-1/0", 1, "running")) == []  # a delayed heartbeat
 
 
 def test_late_heartbeat_changes_nothing():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.report("m1", ("req-1/0", 1, "running"), sequence=9)
     world.report("m1", ("req-1/0", 1, "exited", "done"), sequence=8)
-    world.run()
-    assert world.view.jobs["req-1"].state == "queued"
+    world.run_and_commit()
+    assert world.replica.jobs["req-1"].state == "queued"
 
 
 def test_attempt_with_an_unanswered_direct_start_is_neither_ended_nor_forgotten():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     m = world.owner.machines["m1"]
     world.owner.on_commands_sent(m, [Command(CommandAction.START, "req-1/0", 1)], world.now)
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
-    world.step()
+    world.run_pass()
     world.report("m1")  # without the task, but the start may still arrive
     assert m.attempts
     world.report("m1", ("req-1/0", 1, "exited", "stopped"))
-    world.run()
+    world.run_and_commit()
     assert world.report("m1", ("req-1/0", 1, "exited", "stopped")) == []
     world.owner.on_commands_answered(m, [Command(CommandAction.START, "req-1/0", 1)])
     assert world.report("m1", ("req-1/0", 1, "exited", "stopped")) == [("forget", "req-1/0", 1, None)]
 
 
 def test_cancelled_task_is_stopped_and_its_machine_deleted_if_it_cannot_confirm():
-    world = World(machine_silence_us=1000 * SECOND_US)
-    world.machine("m1")
+    world = ShardHarness(machine_silence_us=1000 * SECOND_US)
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.report("m1", ("req-1/0", 1, "running"))
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
-    assert ("stop", "req-1/0", 1, 0.0) in world.step().commands["m1"]
-    world.later(21)
+    assert ("stop", "req-1/0", 1, 0.0) in world.run_pass().commands["m1"]
+    world.advance_clock(21)
     world.report("m1", ("req-1/0", 1, "running"))
-    world.run()
-    assert world.view.drains["m1"].reason == "stuck"
-    assert world.step().machines_to_delete == ["m1"]
+    world.run_and_commit()
+    assert world.replica.drains["m1"].reason == "stuck"
+    assert world.run_pass().machines_to_delete == ["m1"]
 
 
 def test_placement_fails_if_a_cancellation_commits_first():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec())
-    world.step()
+    world.run_pass()
     world.ledger.txn({}, {"j/req-1": JobRecord(spec(), world.now, JobState.CANCELLED, world.now)})
     assert not world.starts(world.commit())
     assert not world.owner.machines["m1"].attempts
 
 
 def test_placement_fails_if_a_drain_or_a_moved_route_commits_first():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec())
-    world.step()
+    world.run_pass()
     world.ledger.txn({}, {"d/m1": DrainRecord("idle", world.now)})
     assert not world.starts(world.commit())
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec())
-    world.step()
+    world.run_pass()
     world.ledger.txn({}, {"r/0/req-1": RouteRecord("")})
     assert not world.starts(world.commit())
 
 
 def test_unknown_outcome_of_a_commit_is_resolved_from_the_records():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.step()
+    world.run_pass()
     batch = world.owner.gather_commit(world.now, world.now)
     world.ledger.txn(batch.preconditions, {k: v for k, (v, _) in batch.puts.items()})
     world.catch_up()
     world.owner.on_rejected(batch, world.now, world.now, unchanged=False)
     assert [o[0] for o in world.report("m1")] == ["start"]  # the commit was applied, so the task is started
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.step()
+    world.run_pass()
     late_commit = world.owner.gather_commit(world.now, world.now)
     world.owner.on_rejected(late_commit, world.now, world.now, unchanged=False)
-    world.run()  # placed again and committed
+    world.run_and_commit()  # placed again and committed
     assert isinstance(
         world.ledger.txn(late_commit.preconditions, {k: v for k, (v, _) in late_commit.puts.items()}), list
     )
 
 
 def test_gang_that_loses_a_task_is_stopped_and_restarted_as_the_next_attempt():
-    world = World(machine_silence_us=1000 * SECOND_US)
+    world = ShardHarness(machine_silence_us=1000 * SECOND_US)
     for name in ("m1", "m2"):
-        world.machine(name)
+        world.add_machine(name)
     world.submit(spec(kind="gang", cpus=20.0, one_zone=True))
-    starts = world.starts(world.run())
+    starts = world.starts(world.run_and_commit())
     assert {n for _, _, n in starts} == {1} and {m for m, _, _ in starts} == {"m1", "m2"}
     task_by_machine = {m: name for m, name, _ in starts}
     for m, name in task_by_machine.items():
         world.report(m, (name, 1, "running"))
     world.report("m1", session=2)
-    assert ("stop", task_by_machine["m2"], 1, 0.0) in world.step().commands["m2"]
-    assert not world.starts(world.run())
+    assert ("stop", task_by_machine["m2"], 1, 0.0) in world.run_pass().commands["m2"]
+    assert not world.starts(world.run_and_commit())
     world.report("m2", (task_by_machine["m2"], 1, "exited", "peers"))
-    assert {n for _, _, n in world.starts(world.run())} == {2}
+    assert {n for _, _, n in world.starts(world.run_and_commit())} == {2}
 
 
 def test_gang_is_done_with_its_first_task_and_others_keep_resources_until_they_exit():
-    world = World()
+    world = ShardHarness()
     for name in ("m1", "m2"):
-        world.machine(name)
+        world.add_machine(name)
     world.submit(spec(kind="gang", cpus=20.0))
-    task_by_machine = {m: name for m, name, _ in world.starts(world.run())}
+    task_by_machine = {m: name for m, name, _ in world.starts(world.run_and_commit())}
     world.report("m1", (task_by_machine["m1"], 1, "exited", "done"))
-    world.run()
-    assert world.view.jobs["req-1"].state == "done"
-    assert world.owner.machines["m2"].free_resources(world.view.machine_reservations).cpus == 12
+    world.run_and_commit()
+    assert world.replica.jobs["req-1"].state == "done"
+    assert world.owner.machines["m2"].free_resources(world.replica.machine_reservations).cpus == 12
 
 
 def test_gang_whose_end_was_not_committed_ends_again():
     # Seen on a day of the grown padron-abierto-mvd: complete -> forming, which is invalid, in every pass.
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(kind="gang", cpus=10.0))
-    world.run()
+    world.run_and_commit()
     world.report("m1", ("req-1/0", 1, "running"), ("req-1/1", 1, "running"))
     world.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "running"))
-    world.step()
+    world.run_pass()
     batch = world.owner.gather_commit(world.now, world.now)
     world.owner.on_rejected(batch, world.now, world.now, unchanged=False)
-    world.step()
+    world.run_pass()
     world.report("m1", ("req-1/0", 1, "exited", "done"), ("req-1/1", 1, "exited", "done"))
-    world.run()
-    assert world.view.jobs["req-1"].state == "done"
+    world.run_and_commit()
+    assert world.replica.jobs["req-1"].state == "done"
 
 
 def test_spot_notice_saves_the_whole_gang_in_time():
-    world = World()
+    world = ShardHarness()
     for name in ("m1", "m2"):
-        world.machine(name)
+        world.add_machine(name)
     world.submit(spec(kind="gang", cpus=20.0))
-    task_by_machine = {m: name for m, name, _ in world.starts(world.run())}
+    task_by_machine = {m: name for m, name, _ in world.starts(world.run_and_commit())}
     for m, name in task_by_machine.items():
         world.report(m, (name, 1, "running"))
     world.report("m1", (task_by_machine["m1"], 1, "running"), notice=20 * SECOND_US)
-    world.run()
-    commands_by_machine = world.step().commands
+    world.run_and_commit()
+    commands_by_machine = world.run_pass().commands
     assert (
         commands_by_machine["m1"][0][:3] == ("stop", task_by_machine["m1"], 1)
         and commands_by_machine["m1"][0][3] >= 2
@@ -238,22 +238,22 @@
 
 
 def test_unknown_task_on_a_machine_is_stopped_and_not_started_elsewhere():
-    world = World()
-    world.machine("m1")
-    world.machine("m2")
+    world = ShardHarness()
+    world.add_machine("m1")
+    world.add_machine("m2")
     commands = world.report("m1", ("req-1/0", 7, "running"))
     assert commands == [("stop", "req-1/0", 7, 0.0)]
     world.submit(spec(tasks=1))
-    assert not world.starts(world.run())
+    assert not world.starts(world.run_and_commit())
     world.report("m1")
-    assert world.starts(world.run())
+    assert world.starts(world.run_and_commit())
 
 
 def test_next_owner_starts_what_the_previous_one_placed():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec())
-    world.run()
+    world.run_and_commit()
     world.take_over()
     commands = world.report("m1", ("req-1/0", 1, "running"))
     assert commands == [("start", "req-1/1", 2, None)]
@@ -261,62 +261,62 @@
 
 def test_next_owner_ends_a_job_that_was_complete_when_its_owners_failed():
     for lowest in (True, False):
-        world = World()
+        world = ShardHarness()
         world.put("j/req-1", JobRecord(spec(tasks=3), world.now))
         world.put("p/1/req-1/0" if lowest else "p/0/req-1/0", PlacementRecord({}, "4", 1))
         world.put("p/0/req-1/0" if lowest else "p/1/req-1/0", PlacementRecord({}, "3", 2))
         # Both owners fail before either has read the other's last record. The next owner must check.
         world.owner.jobs_to_finish.clear()
         world.take_over()
-        world.run()
+        world.run_and_commit()
         if not lowest:
-            world.later(2)
-            world.run()
-        assert world.view.jobs["req-1"].state == JobState.DONE
+            world.advance_clock(2)
+            world.run_and_commit()
+        assert world.replica.jobs["req-1"].state == JobState.DONE
 
 
 def test_machines_of_a_zone_that_fall_silent_together_are_not_deleted():
-    world = World()
+    world = ShardHarness()
     for n in range(4):
-        world.machine(f"m{n}", zone="b")
-    world.machine("x", zone="a")
-    world.later(11)
-    world.run()
-    assert set(world.view.drains) == {"x"}
+        world.add_machine(f"m{n}", zone="b")
+    world.add_machine("x", zone="a")
+    world.advance_clock(11)
+    world.run_and_commit()
+    assert set(world.replica.drains) == {"x"}
 
 
 def test_failures_of_several_jobs_drain_a_machine_but_those_of_one_job_do_not():
-    world = World()
+    world = ShardHarness()
     for n in range(4):
-        world.machine(f"m{n}")
+        world.add_machine(f"m{n}")
     for job_id in ("req-1", "req-2"):
         world.submit(spec(job_id, tasks=1, types=("small",)))
-    world.run()
+    world.run_and_commit()
     for job_id in ("req-1", "req-2"):
         a = next(
             a for m in world.owner.machines.values() for a in m.attempts.values() if a.spec.job_id == job_id
         )
         world.owner.completion.record_end(world.owner.machines["m0"], a, "error", world.now, world.now)
-    world.run()
-    assert world.view.drains["m0"].reason == "sick"
-    world = World()
+    world.run_and_commit()
+    assert world.replica.drains["m0"].reason == "sick"
+    world = ShardHarness()
     for n in range(5):
-        world.machine(f"m{n}")
+        world.add_machine(f"m{n}")
     world.submit(spec(tasks=1))
     for _ in range(6):
-        world.later(40)
+        world.advance_clock(40)
         for n in range(5):
             world.report(f"m{n}")
-        for m, name, number in world.starts(world.run()):
+        for m, name, number in world.starts(world.run_and_commit()):
             world.report(m, (name, number, "exited", "error"))
-    assert not world.view.drains and len(world.owner.faults.failed_machines("req-1")) >= 3
+    assert not world.replica.drains and len(world.owner.faults.failed_machines("req-1")) >= 3
 
 
 def test_new_owner_restores_the_images_of_a_machine():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    world.run()
+    world.run_and_commit()
     world.report("m1", ("req-1/0", 1, "fetching"))
     assert not world.owner.machines["m1"].images
     world.report("m1", ("req-1/0", 1, "running"))
@@ -325,55 +325,57 @@
 
 
 def test_urgent_gang_preempts_lower_priority_tasks_which_save_first():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=3))
-    running = [(name, number, "running") for _, name, number in world.starts(world.run())]
+    running = [(name, number, "running") for _, name, number in world.starts(world.run_and_commit())]
     world.report("m1", *running)
-    world.later(5)  # longer than a save takes, before the next checkpoint
+    world.advance_clock(5)  # longer than a save takes, before the next checkpoint
     world.report("m1", *running)
     world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
-    stops = [o for o in world.step().commands["m1"] if o[0] == "stop"]
+    stops = [o for o in world.run_pass().commands["m1"] if o[0] == "stop"]
     assert len(stops) == 2 and all(grace >= 2 for _, _, _, grace in stops)
-    assert not world.step().commands  # no second stop for stopping tasks, and no further stops
+    assert not world.run_pass().commands  # no second stop for stopping tasks, and no further stops
     remaining = next(
         (a.name, a.number, "running")
         for a in world.owner.machines["m1"].attempts.values()
         if a.stop_grace_us is None
     )
     world.report("m1", remaining, *[(name, n, "exited", "stopped") for _, name, n, _ in stops])
-    assert {name for _, name, _ in world.starts(world.run())} == {"req-2/0"}
+    assert {name for _, name, _ in world.starts(world.run_and_commit())} == {"req-2/0"}
 
 
 def test_same_priority_is_not_preempted():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=3))
-    world.run()
+    world.run_and_commit()
     world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0))
-    assert not world.step().commands
+    assert not world.run_pass().commands
 
 
 def test_withdrawn_route_stops_the_placed_task():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=2))
-    world.report("m1", *[(name, number, "running") for _, name, number in world.starts(world.run())])
+    world.report(
+        "m1", *[(name, number, "running") for _, name, number in world.starts(world.run_and_commit())]
+    )
     world.put("r/0/req-1", RouteRecord("0"))
-    commands_by_machine = world.step().commands
+    commands_by_machine = world.run_pass().commands
     assert [o[:2] for o in commands_by_machine["m1"]] == [("stop", "req-1/1")]
 
 
 def test_group_commit_keeps_to_the_transaction_limits_when_many_jobs_end_at_once():
     # Seen on a recorded day: a nearly full transaction of records, each of which also ended its job.
-    world = World(txn_ops=12)
+    world = ShardHarness(txn_ops=12)
     for n in range(10):
-        world.machine(f"m{n}")
+        world.add_machine(f"m{n}")
     for n in range(30):
         world.submit(spec(f"req-{n}", tasks=1))
     sizes = []
     ends_reported = False
-    world.step()
+    world.run_pass()
     while batch := world.owner.gather_commit(world.now, world.now):
         assert batch.changes <= 12 and len(batch.preconditions) <= 48
         sizes.append(batch.changes)
@@ -387,7 +389,7 @@
             ends_reported = True
             for name, m in world.owner.machines.items():
                 world.report(name, *[(a.name, a.number, "exited", "done") for a in m.attempts.values()])
-    assert all(job.state == "done" for job in world.view.jobs.values()) and max(sizes) == 12
+    assert all(job.state == "done" for job in world.replica.jobs.values()) and max(sizes) == 12
 
 
 def test_placement_is_checked_against_the_current_records_when_it_is_committed():
@@ -398,119 +400,125 @@
         ("j/req-1", JobRecord(spec(tasks=1), 0, JobState.CANCELLED, 1)),
         ("d/m1", DrainRecord("idle", 1)),
     ):
-        world = World()
-        world.machine("m1")
+        world = ShardHarness()
+        world.add_machine("m1")
         world.submit(spec(tasks=1))
-        world.step()
+        world.run_pass()
         world.put(key, value)
         assert not world.starts(world.commit())
         assert (
             not world.owner.machines["m1"].attempts
-            and world.owner.machines["m1"].free_resources(world.view.machine_reservations).cpus == 32
+            and world.owner.machines["m1"].free_resources(world.replica.machine_reservations).cpus == 32
         )
 
 
 def test_owner_reserves_resources_for_a_cross_shard_gang_and_starts_its_share_once():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     gang = spec("req-1", kind="gang", tasks=4, cpus=20.0)
     world.submit(gang, RouteRecord("0", None, 3, {0: "m1"}, world.now + 30 * SECOND_US))
     world.submit(spec("req-2", tasks=1, cpus=20.0, estimate_us=60 * SECOND_US))
-    assert not world.starts(world.run())  # the backfilled task would not end before the gang starts
-    world.later(31)
+    assert not world.starts(
+        world.run_and_commit()
+    )  # the backfilled task would not end before the gang starts
+    world.advance_clock(31)
     world.report("m1")
-    assert world.starts(world.run()) == {("m1", "req-1/0", 3)}
+    assert world.starts(world.run_and_commit()) == {("m1", "req-1/0", 3)}
     world.report("m1", ("req-1/0", 3, "exited", "alone"))
-    assert "req-1/0" not in {name for _, name, _ in world.starts(world.run())}  # the leader plans the retry
+    assert "req-1/0" not in {
+        name for _, name, _ in world.starts(world.run_and_commit())
+    }  # the leader plans the retry
 
 
 def test_share_of_a_cross_shard_gang_is_placed_on_a_replacement_machine():
-    world = World(shard_count=2)
+    world = ShardHarness(shard_count=2)
     for name in ("m1", "m2"):
-        world.machine(name)
-    world.machine("m3", zone="b")
+        world.add_machine(name)
+    world.add_machine("m3", zone="b")
     world.submit(spec("req-8", tasks=1, cpus=30.0))
-    occupied = world.starts(world.run()).pop()[0]
+    occupied = world.starts(world.run_and_commit()).pop()[0]
     route = RouteRecord("0", None, 1, {0: occupied}, world.now)
     world.submit(spec("req-9", kind="gang", tasks=2, cpus=30.0, one_zone=True), route)
     free = {"m1": "m2", "m2": "m1"}[occupied]
-    assert world.starts(world.run()) == {(free, "req-9/0", 1)}
+    assert world.starts(world.run_and_commit()) == {(free, "req-9/0", 1)}
 
 
 def test_task_that_has_just_saved_is_preempted_without_grace():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=3))
-    running = [(name, number, "running") for _, name, number in world.starts(world.run())]
+    running = [(name, number, "running") for _, name, number in world.starts(world.run_and_commit())]
     world.report("m1", *running)
-    world.later(11)  # one second after its checkpoint
+    world.advance_clock(11)  # one second after its checkpoint
     world.report("m1", *running)
     world.submit(spec("req-2", kind="gang", tasks=1, cpus=20.0, priority=1))
-    assert [o[3] for o in world.step().commands["m1"] if o[0] == "stop"] == [0.0, 0.0]
+    assert [o[3] for o in world.run_pass().commands["m1"] if o[0] == "stop"] == [0.0, 0.0]
 
 
 def test_new_session_after_an_expired_lease_starts_a_new_lease():
-    world = World(machine_silence_us=1000 * SECOND_US)
-    world.machine("m1")
-    world.machine("m2")
-    world.later(45)
+    world = ShardHarness(machine_silence_us=1000 * SECOND_US)
+    world.add_machine("m1")
+    world.add_machine("m2")
+    world.advance_clock(45)
     heartbeat = Heartbeat("m1", "127.0.0.1:1", "small", "a", False, 2, 1, world.owner.fencing_token, None)
     world.owner.on_commands_sent(world.owner.machines["m1"], [], world.now)
     world.owner.on_heartbeat(heartbeat, world.now, world.now, direct=True)  # no answer renews the lease
     world.submit(spec(tasks=1))
-    assert {m for m, _, _ in world.starts(world.run())} == {"m1"}
-    world.later(1)
+    assert {m for m, _, _ in world.starts(world.run_and_commit())} == {"m1"}
+    world.advance_clock(1)
     world.report("m2")
-    assert not world.starts(world.run())
+    assert not world.starts(world.run_and_commit())
 
 
 def test_preempted_job_is_not_placed_again_for_a_while():
-    world = World()
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=1))
-    world.report("m1", *[(name, n, "running") for _, name, n in world.starts(world.run())])
+    world.report("m1", *[(name, n, "running") for _, name, n in world.starts(world.run_and_commit())])
     world.submit(spec("req-2", kind="gang", tasks=1, cpus=30.0, priority=1))
-    (stop,) = world.step().commands["m1"]
+    (stop,) = world.run_pass().commands["m1"]
     world.put("j/req-2", JobRecord(spec("req-2"), 0, JobState.CANCELLED, 1))
     world.report("m1", (stop[1], stop[2], "exited", "stopped"))
-    assert not world.starts(world.run())
-    world.later(6)
+    assert not world.starts(world.run_and_commit())
+    world.advance_clock(6)
     world.report("m1")
-    assert world.starts(world.run())
+    assert world.starts(world.run_and_commit())
 
 
 def test_gang_with_a_long_start_objective_avoids_accelerators_despite_their_image():
     def chosen(objective_s):
-        world = World(urgent_classes=frozenset(["c"]), start_objectives={"c": (objective_s * SECOND_US,)})
-        world.machine("gpu", mtype="big")
+        world = ShardHarness(
+            urgent_classes=frozenset(["c"]), start_objectives={"c": (objective_s * SECOND_US,)}
+        )
+        world.add_machine("gpu", machine_type="big")
         world.submit(spec("req-8", tasks=1, cpus=96.0))
-        world.run()
+        world.run_and_commit()
         world.report("gpu", ("req-8/0", 1, "running"))
         world.report("gpu", ("req-8/0", 1, "exited", "done"))
-        world.run()
-        world.machine("plain")
+        world.run_and_commit()
+        world.add_machine("plain")
         world.submit(spec("req-9", kind="gang", tasks=1, image_gb=8.0))
-        return world.starts(world.run())
+        return world.starts(world.run_and_commit())
 
     assert chosen(10) == {("gpu", "req-9/0", 1)}  # 16 s of image fetch outweigh keeping accelerators free
     assert chosen(80) == {("plain", "req-9/0", 1)}
 
 
 def test_overdue_array_starts_one_task_before_later_jobs():
-    world = World(first_start_within_us=240 * SECOND_US)
-    world.machine("m0")
+    world = ShardHarness(first_start_within_us=240 * SECOND_US)
+    world.add_machine("m0")
     world.submit(spec("req-1", tasks=9, priority=3))
-    world.later(130)
-    world.machine("m0")
+    world.advance_clock(130)
+    world.add_machine("m0")
     world.submit(spec("req-2", tasks=9, priority=2))
-    started = {name for _, name, _ in world.starts(world.run())}
+    started = {name for _, name, _ in world.starts(world.run_and_commit())}
     assert started == {"req-1/0", "req-2/0", "req-2/1"}
 
 
 def test_stopped_attempt_whose_direct_start_was_lost_is_freed():
     # Seen (rig, seed 1185): a stop was requested before the direct start was confirmed. The start was never
     # answered, and the task's resources stayed allocated as long as the machine existed.
-    world = World()
+    world = ShardHarness()
     machine, task, number = world.place_one()
     m = world.owner.machines[machine]
     world.owner.on_commands_sent(m, [Command(CommandAction.START, task, number)], world.now)
@@ -519,7 +527,7 @@
     commands = world.report(machine)
     assert commands == [("start", task, number, None), ("stop", task, number, 0.0)] and m.attempts
     world.report(machine, (task, number, "exited", "stopped"))
-    world.run()
+    world.run_and_commit()
     # The task is freed and placed again. The worker must not forget the old attempt: a late start
     # would run it.
     assert number not in {n for _, n in m.attempts}
@@ -527,28 +535,28 @@
 
 
 def test_lost_direct_start_of_a_cancelled_job_is_not_sent_again():
-    world = World()
+    world = ShardHarness()
     machine, task, number = world.place_one()
     world.owner.on_commands_sent(
         world.owner.machines[machine], [Command(CommandAction.START, task, number)], world.now
     )
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, JobState.CANCELLED, world.now))
-    world.run()
+    world.run_and_commit()
     assert world.report(machine) == [("stop", task, number, 0.0)]
 
 
 def test_owner_drops_a_job_whose_record_was_removed():
-    world = World()
-    world.machine("m0")
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m0")
+    world.add_machine("m1")
     world.submit(spec("req-1", tasks=2))
     world.submit(spec("req-2", kind="gang", tasks=2))
-    world.run()
+    world.run_and_commit()
     assert {job_id for job_id, _ in world.owner.drafts} == {"req-1", "req-2"}
     for job_id in ("req-1", "req-2"):
         world.ledger.txn({}, {}, [f"j/{job_id}"])
-    world.ledger.feed(world.view, world.now)
-    world.step()
+    world.ledger.update_replica(world.replica, world.now)
+    world.run_pass()
     assert not world.owner.drafts and not world.owner.gangs
     assert not any(m.attempts for m in world.owner.machines.values())
 
--- a/tests/test_owner_interruptions.py
+++ b/tests/test_owner_interruptions.py
@@ -6,77 +6,77 @@
 from pearstep.domain.units import SECOND_US
 from pearstep.shard.commands import Heartbeat
 from pearstep.state.records import DrainRecord, RouteRecord
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 
 def test_process_pause_does_not_count_as_machine_silence():
     for paused in (False, True):
-        world = World()
+        world = ShardHarness()
         for n in range(4):
-            world.machine(f"m{n}")
-        world.later(12)
+            world.add_machine(f"m{n}")
+        world.advance_clock(12)
         if paused:
             world.owner.on_process_pause(11 * SECOND_US, world.now)
-        world.run()
-        assert bool(world.view.drains) != paused
-    world.later(11)
-    world.run()
-    assert len(world.view.drains) == 4  # silence after the pause counts
+        world.run_and_commit()
+        assert bool(world.replica.drains) != paused
+    world.advance_clock(11)
+    world.run_and_commit()
+    assert len(world.replica.drains) == 4  # silence after the pause counts
 
 
 def test_last_machine_to_reconnect_after_a_partition_is_not_deleted():
     """After a partition, the machines of another zone reconnect one by one. The last one, silent for longer
     than the limit, was deleted as soon as most others had reported.
     """
-    world = World()
+    world = ShardHarness()
     for n in range(4):
-        world.machine(f"m{n}", zone="b")
+        world.add_machine(f"m{n}", zone="b")
     for _ in range(20):
-        world.later(1)
-        world.run()
-    assert not world.view.drains
+        world.advance_clock(1)
+        world.run_and_commit()
+    assert not world.replica.drains
     for n in range(3):
         world.report(f"m{n}", zone="b")
     for _ in range(10):
-        world.later(1)
+        world.advance_clock(1)
         for n in range(3):
             world.report(f"m{n}", zone="b")
-        world.run()
-        assert not world.view.drains
-    world.later(1)
+        world.run_and_commit()
+        assert not world.replica.drains
+    world.advance_clock(1)
     for n in range(3):
         world.report(f"m{n}", zone="b")
-    world.run()
-    assert set(world.view.drains) == {"m3"}  # silence after the partition counts
+    world.run_and_commit()
+    assert set(world.replica.drains) == {"m3"}  # silence after the partition counts
 
 
 def test_lease_expires_during_a_process_pause():
-    world = World()
+    world = ShardHarness()
     m, name, number = world.place_one()
     world.report(m, (name, number, "running"))
-    world.later(20)
+    world.advance_clock(20)
     world.owner.on_process_pause(19 * SECOND_US, world.now)
-    world.step()
+    world.run_pass()
     assert (name, number) not in world.owner.machines[m].attempts
 
 
 def test_next_owner_frees_the_task_of_a_deleted_machine():
-    world = World()
-    world.machine("m0")
-    world.machine("m1")
+    world = ShardHarness()
+    world.add_machine("m0")
+    world.add_machine("m1")
     world.submit(spec(tasks=1))
-    ((m, name, number),) = world.starts(world.run())
+    ((m, name, number),) = world.starts(world.run_and_commit())
     world.put(f"d/{m}", DrainRecord("lost", world.now))
     # The owner fails after the machine's records are deleted and before the end of its task is written.
     world.ledger.txn({}, {}, [f"d/{m}", f"m/0/{m}"])
     world.take_over()
     other = ({"m0", "m1"} - {m}).pop()
     world.report(other)
-    assert {(o, n) for o, n, _ in world.starts(world.run())} == {(other, name)}
+    assert {(o, n) for o, n, _ in world.starts(world.run_and_commit())} == {(other, name)}
 
 
 def test_direct_answer_that_overtakes_a_start_does_not_end_the_attempt():
-    world = World()
+    world = ShardHarness()
     m, name, number = world.place_one()
     assert ("start", name, number, None) in world.report(m)  # sent, not yet received
     owner = world.owner
@@ -92,20 +92,20 @@
 
 
 def test_short_task_starts_with_the_answer_to_a_heartbeat():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.submit(spec(tasks=1, estimate_us=4 * SECOND_US))
-    assert not world.starts(world.run())
+    assert not world.starts(world.run_and_commit())
     (command,) = world.report("m0")
     assert command[0] == "start"
 
 
 def test_conflict_over_one_job_keeps_the_placements_of_others():
-    world = World()
-    world.machine("m0", mtype="big")
+    world = ShardHarness()
+    world.add_machine("m0", machine_type="big")
     for n in (1, 2, 3):
         world.submit(spec(f"req-{n}", tasks=1))
-    world.step()
+    world.run_pass()
     batch = world.owner.gather_commit(world.now, world.now)
     assert len(batch.placed_attempts) == 3
     previous = {a.spec.job_id: a for a in batch.placed_attempts}
@@ -129,9 +129,9 @@
 
 @given(steps)
 def test_task_never_runs_on_two_machines(events):
-    world = World()
+    world = ShardHarness()
     for n in range(3):
-        world.machine(f"m{n}")
+        world.add_machine(f"m{n}")
     world.submit(spec(tasks=2, checkpoint_us=0))
     running: dict[str, set[tuple[str, int]]] = {f"m{n}": set() for n in range(3)}
     sessions = dict.fromkeys(running, 1)
@@ -162,10 +162,10 @@
             for m in running:
                 report(m)
         elif event == "silent":
-            world.later(1)
+            world.advance_clock(1)
         elif event == "still":
             # The pause is longer than a lease: without answers, the workers' leases expire.
-            world.later(20)
+            world.advance_clock(20)
             for m in running:
                 running[m].clear()
                 sessions[m] += 1
@@ -181,5 +181,5 @@
         elif event == "take_over":
             world.take_over()
         else:
-            perform(world.step())
+            perform(world.run_pass())
             perform(world.commit())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,7 @@
 from pearstep.transport.kv_client import CommitOutcome
 from pearstep.transport.rate_limiter import RateLimiter
 from tests.test_leader import LeaderHarness
-from tests.world import BIG, SMALL, TYPES, World, machine_rec, spec
+from tests.world import BIG, SMALL, TYPES, ShardHarness, machine_record, spec
 
 # The number of machines in the largest fleet that the users run.
 FLEET_SIZE = 4000
@@ -185,8 +185,8 @@
 def fleet_leader(machines=FLEET_SIZE, shard_count=3):
     """Return a leader whose machines are recorded in one transaction."""
     leader = LeaderHarness(shard_count=shard_count)
-    leader.ledger.txn({}, {f"m/{n % shard_count}/m{n}": machine_rec() for n in range(machines)})
-    leader.ledger.feed(leader.replica, leader.now)
+    leader.ledger.txn({}, {f"m/{n % shard_count}/m{n}": machine_record() for n in range(machines)})
+    leader.ledger.update_replica(leader.replica, leader.now)
     return leader
 
 
@@ -246,7 +246,7 @@
 
     async def commit(puts, conditions, deletes=None):
         assert isinstance(leader.ledger.txn(conditions, puts, deletes), int)
-        leader.ledger.feed(leader.replica, leader.now)
+        leader.ledger.update_replica(leader.replica, leader.now)
         written.append(len(puts) + len(deletes or ()))
         return CommitOutcome.COMMITTED
 
@@ -324,7 +324,7 @@
 
 
 def test_owner_records_and_deletes_4000_machines_within_transaction_limits():
-    world = World(txn_ops=12)
+    world = ShardHarness(txn_ops=12)
     for n in range(FLEET_SIZE):
         world.report(f"m{n}")
     commits = 0
@@ -336,28 +336,28 @@
             values = {key: value for key, (value, _) in batch.puts.items()}
             revision = world.ledger.txn(batch.preconditions, values, batch.deletes)
             assert isinstance(revision, int)
-            world.owner.on_committed(batch, revision, world.step())
+            world.owner.on_committed(batch, revision, world.run_pass())
             commits += 1
-        world.ledger.feed(world.view, world.now)
+        world.ledger.update_replica(world.replica, world.now)
 
     write()
-    assert len(world.view.machines) == FLEET_SIZE and commits == -(-FLEET_SIZE // 12)
+    assert len(world.replica.machines) == FLEET_SIZE and commits == -(-FLEET_SIZE // 12)
     for n in range(FLEET_SIZE):
         world.owner.on_machine_deleted(f"m{n}", world.now, world.now)
     commits = 0
     write()
     # Each machine takes two keys: its drain record, absent here, and its machine record.
-    assert not world.view.machines and commits == -(-2 * FLEET_SIZE // 12)
+    assert not world.replica.machines and commits == -(-2 * FLEET_SIZE // 12)
 
 
 @pytest.mark.parametrize(("machines", "pause_s"), [(200, 20), (800, 62)])
 def test_images_of_a_large_shard_are_recorded_less_often(machines, pause_s):
-    world = World()
+    world = ShardHarness()
     for n in range(machines):
         world.report(f"m{n}")
     world.commit()
     world.submit(spec("req-1", tasks=1))
-    ((machine, name, number),) = world.starts(world.run())
+    ((machine, name, number),) = world.starts(world.run_and_commit())
 
     def running_report_writes_record():
         """Report the task as running; return whether the machine's record is to be written."""
@@ -366,10 +366,10 @@
 
     assert running_report_writes_record()
     world.commit()
-    world.put(f"m/0/{machine}", machine_rec())  # the record lists no images
-    world.later(pause_s - 1)
+    world.put(f"m/0/{machine}", machine_record())  # the record lists no images
+    world.advance_clock(pause_s - 1)
     assert not running_report_writes_record()
-    world.later(2)
+    world.advance_clock(2)
     assert running_report_writes_record()
 
 
@@ -380,9 +380,9 @@
         request_sizes.append(len(names))
         return True
 
-    world = World()
+    world = ShardHarness()
     loop = ShardLoop.__new__(ShardLoop)
-    loop.cloud, loop.replica = SimpleNamespace(delete=delete), world.view
+    loop.cloud, loop.replica = SimpleNamespace(delete=delete), world.replica
     loop.owners, loop.pass_requested = {0: world.owner}, asyncio.Event()
     asyncio.run(loop._delete(world.owner, [f"m{n}" for n in range(FLEET_SIZE)]))
     assert request_sizes == [100] * 40 and len(world.owner.deleted_machines) == FLEET_SIZE
--- a/tests/test_scarce.py
+++ b/tests/test_scarce.py
@@ -16,7 +16,7 @@
 )
 from pearstep.state.records import InstanceRequestRecord
 from tests.test_leader import LeaderHarness
-from tests.world import SMALL, TYPES, World, spec
+from tests.world import SMALL, TYPES, ShardHarness, spec
 
 WHOLE_MACHINE_JOB = spec("req-1", kind="gang", tasks=1, cpus=90.0, gpus=8.0, memory_gb=300.0)
 SMALL_JOB = spec("req-2", cpus=4.0, memory_gb=20.0)
@@ -112,7 +112,7 @@
 
 def test_leader_routes_gangs_to_reserved_machines_and_small_jobs_to_others():
     office = LeaderHarness()
-    office.add_machine("m0", 0, mtype="big")
+    office.add_machine("m0", 0, machine_type="big")
     office.add_machine("m1", 1)
     record_recurring_jobs(office.replica)
     office.submit(WHOLE_MACHINE_JOB)
@@ -124,12 +124,12 @@
 
 
 def test_owner_places_a_service_beside_a_whole_machine_task():
-    world = World()
-    record_recurring_jobs(world.view)
+    world = ShardHarness()
+    record_recurring_jobs(world.replica)
     world.submit(WHOLE_MACHINE_JOB)
     world.submit(spec("req-2", kind="service", tasks=3, cpus=4.0, memory_gb=20.0, priority=0))
-    world.machine("m0", mtype="big")
-    world.step()
+    world.add_machine("m0", machine_type="big")
+    world.run_pass()
     placed = [a.spec.job_id for a in world.owner.machines["m0"].attempts.values()]
     assert sorted(placed) == ["req-1", "req-2"]
 
@@ -175,7 +175,7 @@
 def test_idle_machine_that_no_waiting_job_can_use_is_released():
     office = LeaderHarness()
     office.add_machine("m0", 0)
-    office.add_machine("m1", 0, mtype="big")
+    office.add_machine("m1", 0, machine_type="big")
     office.autoscaler.observe(office.now, office.now)
     office.now += 90 * SECOND_US
     office.autoscaler.observe(office.now, office.now)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,27 +24,27 @@
 from pearstep.federation.writes import borrowed_rec, guest_writes, local_ref
 from pearstep.state.records import JobRecord
 from tests.test_lending import Cluster
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 TERM_US, LEASE_US, MARGIN_US = 200 * SECOND_US, 16 * SECOND_US, 5 * SECOND_US
 TASK_AMOUNTS = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 def test_owners_stop_tasks_at_their_limit_without_the_state_service():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.submit(spec(tasks=2))
     job_record = JobRecord(spec(tasks=2), world.now, run_until_us=world.now + 30 * SECOND_US)
     world.put("j/req-1", job_record)
-    starts = world.starts(world.run())
+    starts = world.starts(world.run_and_commit())
     assert len(starts) == 2
     tasks = [(name, n, "running") for _, name, n in sorted(starts)]
     world.report("m0", *tasks)
-    world.later(29)
+    world.advance_clock(29)
     assert not [o for o in world.report("m0", *tasks) if o[0] == "stop"]
-    world.later(1)
+    world.advance_clock(1)
     # No commit from here on: the state service is unavailable. The owner still answers, and orders the stop.
-    world.step()
+    world.run_pass()
     orders = world.report("m0", *tasks)
     assert sorted(o[:2] for o in orders if o[0] == "stop") == [("stop", "req-1/0"), ("stop", "req-1/1")]
     assert all(
@@ -53,17 +53,17 @@
 
 
 def test_no_task_starts_after_its_limit_and_a_renewal_extends_it():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, run_until_us=world.now))
     from pearstep.state.records import RouteRecord
 
     world.put("r/0/req-1", RouteRecord("0"))
-    assert not world.starts(world.run())
+    assert not world.starts(world.run_and_commit())
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, run_until_us=world.now + 9 * SECOND_US))
-    assert world.starts(world.run())
+    assert world.starts(world.run_and_commit())
     # A record without a limit does not change it; an earlier or later limit takes effect at once.
-    job = world.view.jobs["req-1"]
+    job = world.replica.jobs["req-1"]
     job.update(JobRecord(spec(tasks=1), world.now), job.version, world.now)
     assert job.run_until_us == world.now + 9 * SECOND_US
     job.update(JobRecord(spec(tasks=1), world.now, run_until_us=world.now), job.version, world.now)
--- a/tests/test_transaction_limits.py
+++ b/tests/test_transaction_limits.py
@@ -39,7 +39,7 @@
 from pearstep.transport.kv_client import CommitOutcome, KeyValueStore
 from pearstep.transport.rate_limiter import RateLimiter
 from tests.test_formats import SUBMISSION, TOML
-from tests.world import TYPES, Ledger, World, spec
+from tests.world import TYPES, FakeKeyValueStore, ShardHarness, spec
 
 MACHINES = 200
 TEAM = Team("t")
@@ -80,8 +80,8 @@
         return sum(op.put == key for txn in self.transactions for op in txn.ops)
 
 
-class StoreLedger(Ledger):
-    """The store of the state service in place of the ledger of ``World``."""
+class StoreLedger(FakeKeyValueStore):
+    """The store of the state service in place of the ledger of ``ShardHarness``."""
 
     def __init__(self, store):
         self.store = store
@@ -99,7 +99,7 @@
         return self.store.apply_transaction(wire.decode_transaction(body))
 
 
-class SiteWithService(World):
+class SiteWithService(ShardHarness):
     """A shard whose group commits go to the service over a key-value client.
 
     ``served`` is the service's own limit of changes, if it differs from the one in the settings.
@@ -116,7 +116,7 @@
             {0: self.owner},
             self.service.store(),
             None,
-            self.view,
+            self.replica,
             self,
             self,
             asyncio.Event(),
@@ -144,13 +144,13 @@
         asyncio.run(asyncio.wait_for(self.shard_loop._commit(self.owner), TIMEOUT_S))
         return self.starts(self.sent_commands)
 
-    def run(self):
-        self.step()
+    def run_and_commit(self):
+        self.run_pass()
         return self.write()
 
     def add_machines(self, count):
         for n in range(count):
-            self.machine(f"i-{n:06d}")
+            self.add_machine(f"i-{n:06d}")
 
     def placing_attempts(self):
         return [
@@ -180,9 +180,9 @@
     finished = 0
     while finished < MACHINES:
         site.service.transactions.clear()
-        starts = site.run()
+        starts = site.run_and_commit()
         assert len(starts) == min(max_placements, MACHINES - finished) and not site.placing_attempts()
-        placed = site.view.jobs["req-1"].placements[0, 0].record.placements
+        placed = site.replica.jobs["req-1"].placements[0, 0].record.placements
         assert {f"req-1/{task}" for task in placed} == {name for _, name, _ in starts}
         # Five other conditions: on the shard, its fence, the job, its route and its placements.
         max_starts = 4 * txn_ops - 5
@@ -190,8 +190,8 @@
         for machine, name, attempt in starts:
             site.report(machine, (name, attempt, "exited", "done"))
         finished += len(starts)
-    site.run()
-    assert site.view.jobs["req-1"].state == "done" and check_limits(site, txn_ops, value_kb)
+    site.run_and_commit()
+    assert site.replica.jobs["req-1"].state == "done" and check_limits(site, txn_ops, value_kb)
 
 
 def test_other_jobs_of_a_shard_are_placed_while_a_transaction_is_malformed():
@@ -201,7 +201,7 @@
     for n in range(2, 12):
         site.submit(spec(f"req-{n}", tasks=1, cpus=32.0))
     site.submit(spec("req-1", tasks=MACHINES - 10, cpus=32.0))
-    starts = site.run()
+    starts = site.run_and_commit()
     assert len(starts) == MACHINES and not site.placing_attempts()
     service = site.service
     assert 0 < len(service.malformed) <= 12 and len(set(service.malformed)) == len(service.malformed)
@@ -213,10 +213,10 @@
     site.service.rejected_key = "p/0/req-1/0"
     for n in range(1, 11):
         site.submit(spec(f"req-{n}", tasks=1, cpus=32.0))
-    assert {name for _, name, _ in site.run()} == {f"req-{n}/0" for n in range(2, 11)}
+    assert {name for _, name, _ in site.run_and_commit()} == {f"req-{n}/0" for n in range(2, 11)}
     for n in range(11, 21):
         site.submit(spec(f"req-{n}", tasks=1, cpus=32.0))
-        assert {name for _, name, _ in site.run()} == {f"req-{n}/0"}
+        assert {name for _, name, _ in site.run_and_commit()} == {f"req-{n}/0"}
     service = site.service
     assert 0 < len(service.malformed) <= 4 and len(set(service.malformed)) == len(service.malformed)
     assert any("req-1" in txn for txn in map(bytes.decode, service.malformed))
@@ -232,10 +232,10 @@
         site.owner.request_drain(f"i-{n:06d}", "sick", site.now)
     site.write()
     others = {f"i-{n:06d}" for n in range(4, 9)}
-    assert others <= set(site.view.machines) and others <= set(site.view.drains)
+    assert others <= set(site.replica.machines) and others <= set(site.replica.drains)
     before = len(site.service.malformed)
     assert 0 < before <= 2
-    site.later(2)
+    site.advance_clock(2)
     site.report("i-000003")
     site.owner.request_drain("i-000003", "sick", site.now)
     site.write()
@@ -247,7 +247,7 @@
     site = SiteWithService(txn_ops, 16)
     site.add_machines(60)
     site.submit(spec("req-1", kind="gang", tasks=60, cpus=32.0))
-    site.step()
+    site.run_pass()
     placed = 0
     while batch := site.owner.gather_commit(site.now, site.now):
         values = {k: v for k, (v, _) in batch.puts.items()}
@@ -269,7 +269,7 @@
     site = SiteWithService(4, 16)
     site.add_machines(20)
     site.submit(spec("req-1", kind="gang", tasks=16, cpus=32.0))
-    site.step()
+    site.run_pass()
     first_batch = site.owner.gather_commit(site.now, site.now)
     site.owner.on_committed(
         first_batch,
@@ -281,7 +281,7 @@
     site.put(f"d/{unplaced.machine}", DrainRecord("idle", 1))
     assert not site.write() and not site.placing_attempts()
     started_machines = {attempt.machine for attempt in first_batch.placed_attempts}
-    stop_commands = site.step().commands
+    stop_commands = site.run_pass().commands
     assert {
         machine
         for machine, commands in stop_commands.items()
@@ -289,7 +289,7 @@
     } == started_machines
     for machine in started_machines:
         assert not site.report(machine)  # it never received its task
-    starts = site.run()
+    starts = site.run_and_commit()
     assert len(starts) == 16 and {attempt for *_, attempt in starts} == {2}
     assert unplaced.machine not in {machine for machine, *_ in starts}
 
@@ -301,10 +301,10 @@
     site.submit(spec("req-2", tasks=10, cpus=32.0))
     for _ in range(10):
         site.write()
-        site.step()
-        site.later(1)
-    assert set(site.view.jobs["req-2"].placements[0, 0].record.placements) == set(range(10))
-    assert not site.view.jobs["req-1"].placed_tasks and not site.placing_attempts()
+        site.run_pass()
+        site.advance_clock(1)
+    assert set(site.replica.jobs["req-2"].placements[0, 0].record.placements) == set(range(10))
+    assert not site.replica.jobs["req-1"].placed_tasks and not site.placing_attempts()
     # The gang is tried once a minute; its record may be written without placements.
     assert site.service.puts_of("p/0/req-1/0") <= 1 and check_limits(site, 12, 2)
 
@@ -316,7 +316,7 @@
     machine_state.images.update((f"registry/image-{n:04d}", 0.01) for n in range(200))
     site.owner.heartbeats.record_machine(machine_state)
     site.write()
-    images = site.view.machines["i-000000"][1].images
+    images = site.replica.machines["i-000000"][1].images
     assert 50 < len(images) < 200 and "registry/image-0199" in images and check_limits(site, 12, 2)
 
 
@@ -375,7 +375,7 @@
         self.catch_up()
 
     def catch_up(self):
-        self.ledger.feed(self.view)
+        self.ledger.update_replica(self.view)
 
     async def read_barrier(self):
         self.catch_up()
@@ -528,10 +528,10 @@
     ledger, view = StoreLedger(service.keys), Replica()
     for key in ["leader", *(f"part/{n}" for n in range(6))]:
         ledger.txn({}, {key: LeaseHolderRecord("n0")})
-    ledger.feed(view)
+    ledger.update_replica(view)
 
     async def read_barrier():
-        ledger.feed(view)
+        ledger.update_replica(view)
 
     leases = HeldLeases(
         owners={n: SimpleNamespace(fencing_token=view.shard_holders[n].fencing_token) for n in range(6)},
@@ -548,7 +548,7 @@
     view = Replica()
 
     async def read_barrier():
-        StoreLedger(service.keys).feed(view)
+        StoreLedger(service.keys).update_replica(view)
         return True
 
     def apply_to_replica(key, version, value):
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -16,7 +16,7 @@
 from pearstep.transport.kv_client import KeyValueStore
 from pearstep.transport.rate_limiter import RateLimiter
 from tests.test_formats import SUBMISSION
-from tests.world import TYPES, Ledger
+from tests.world import TYPES, FakeKeyValueStore
 
 JOB = {**SUBMISSION, "shape": "batch", "parcels": 2, "breeds": None, "holder": "t", "memoryGb": 8.0}
 LIMITS = TransactionLimits(operations=12, conditions=48, value_bytes=2048)
@@ -26,7 +26,7 @@
     """Serves transactions and changes over HTTP; answers 503 to all requests while ``unavailable``."""
 
     def __init__(self):
-        self.ledger = Ledger()
+        self.ledger = FakeKeyValueStore()
         self.unavailable = False
 
     async def handle(self, request):
--- a/tests/world.py
+++ b/tests/world.py
@@ -31,25 +31,33 @@
 S = TypeVar("S")
 
 
-def walk(
+def explore_states(
     first: S,
-    steps: Callable[[S], list[S]],
-    wrong: Callable[[S], str],
-    further: Callable[[S], bool] = lambda s: True,
+    next_states: Callable[[S], list[S]],
+    find_violation: Callable[[S], str],
+    may_continue: Callable[[S], bool] = lambda s: True,
 ) -> tuple[int, str]:
-    """All states that can be reached, of those that can still go wrong (``further``): how many there are, and
-    what is wrong in the first that is.
+    """Explore all states reachable from ``first``, breadth first.
+
+    Args:
+        first: The initial state.
+        next_states: Returns the states that follow a state.
+        find_violation: Returns the violation in a state, or an empty string.
+        may_continue: Whether a violation is still possible after a state; if not, exploration stops there.
+
+    Returns:
+        How many states were seen, and the first violation or an empty string.
     """
-    seen, todo = {first}, deque([first])
-    while todo:
-        for after in steps(todo.popleft()):
-            if after in seen:
+    seen, unexplored = {first}, deque([first])
+    while unexplored:
+        for state in next_states(unexplored.popleft()):
+            if state in seen:
                 continue
-            if found := wrong(after):
-                return len(seen), found
-            seen.add(after)
-            if further(after):
-                todo.append(after)
+            if violation := find_violation(state):
+                return len(seen), violation
+            seen.add(state)
+            if may_continue(state):
+                unexplored.append(state)
     return len(seen), ""
 
 
@@ -74,7 +82,7 @@
     return JobSpec(**{**values, **changes})
 
 
-class Ledger:
+class FakeKeyValueStore:
     """The state service's transactions, in memory."""
 
     def __init__(self) -> None:
@@ -84,7 +92,7 @@
 
     def txn(self, conditions: dict[str, int], puts: dict[str, Any], deletes: list[str] | None = None) -> Any:
         """Apply a transaction; return the new revision, or the keys whose conditions failed."""
-        failed = [k for k, v in conditions.items() if self.keys.get(k, (b"", 0))[1] != v]
+        failed = [key for key, version in conditions.items() if self.keys.get(key, (b"", 0))[1] != version]
         if failed:
             return failed
         self.revision += 1
@@ -97,15 +105,15 @@
                 self.log.append((self.revision, key, None))
         return self.revision
 
-    def feed(self, view: Replica, now_us: int = 0) -> set[str]:
+    def update_replica(self, replica: Replica, now_us: int = 0) -> set[str]:
         """Bring a replica up to date; return the keys that changed."""
         changed = set()
         for version, key, raw in self.log:
-            if version > view.revision and (
-                view.put(key, version, raw, now_us) if raw is not None else view.delete(key, version)
+            if version > replica.revision and (
+                replica.put(key, version, raw, now_us) if raw is not None else replica.delete(key, version)
             ):
                 changed.add(key)
-        view.revision = self.revision
+        replica.revision = self.revision
         return changed
 
 
@@ -131,12 +139,12 @@
     return ShardOwnerConfig(**{**values, **changes})
 
 
-class World:
+class ShardHarness:
     """A shard with its owner, the in-memory state service and a clock."""
 
-    def __init__(self, ledger: Ledger | None = None, **changes: Any) -> None:
-        self.ledger = ledger or Ledger()
-        self.view = Replica()
+    def __init__(self, ledger: FakeKeyValueStore | None = None, **changes: Any) -> None:
+        self.ledger = ledger or FakeKeyValueStore()
+        self.replica = Replica()
         self.now = 1000 * SECOND_US
         self.config = config(**changes)
         self.last_sequences: dict[str, int] = {}
@@ -145,10 +153,10 @@
 
     def take_over(self) -> ShardOwner:
         """Replace the owner by a new one that claims the shard."""
-        version = self.view.version_of("part/0")
+        version = self.replica.version_of("part/0")
         revision = self.ledger.txn({"part/0": version}, {"part/0": LeaseHolderRecord("n0")})
-        self.ledger.feed(self.view, self.now)
-        self.owner = ShardOwner(0, revision, self.view, TYPES, self.config, self.now, self.now)
+        self.ledger.update_replica(self.replica, self.now)
+        self.owner = ShardOwner(0, revision, self.replica, TYPES, self.config, self.now, self.now)
         return self.owner
 
     def put(self, key: str, value: Any) -> None:
@@ -158,7 +166,7 @@
 
     def catch_up(self) -> None:
         """Read all changes into the owner's replica, and notify the owner."""
-        for key in self.ledger.feed(self.view, self.now):
+        for key in self.ledger.update_replica(self.replica, self.now):
             kind, *path = key.split("/")
             if kind in "jrp":
                 self.owner.on_job_changed(path[0] if kind == "j" else path[1], self.now, self.now)
@@ -174,7 +182,7 @@
         *tasks: tuple[str, int, str] | tuple[str, int, str, str],
         token: int | None = None,
         session: int = 1,
-        mtype: str = "small",
+        machine_type: str = "small",
         zone: str = "a",
         notice: int | None = None,
         sequence: int = 0,
@@ -183,20 +191,28 @@
         silence_us = self.now - self.last_reported_us.get(machine, self.now)
         self.last_reported_us[machine] = self.now
         if silence_us > 4 * self.config.report_us and not sequence:
-            # Workers report continuously: an extra heartbeat first confirms the answers to earlier ones.
-            self.report(machine, *tasks, token=token, session=session, mtype=mtype, zone=zone, notice=notice)
+            # Agents report continuously: an extra heartbeat first confirms the answers to earlier ones.
+            self.report(
+                machine,
+                *tasks,
+                token=token,
+                session=session,
+                machine_type=machine_type,
+                zone=zone,
+                notice=notice,
+            )
         self.last_sequences[machine] = sequence or self.last_sequences.get(machine, 0) + 1
         heartbeat = Heartbeat(
             machine,
             "127.0.0.1:1",
-            mtype,
+            machine_type,
             zone,
             False,
             session,
             self.last_sequences[machine],
             self.owner.fencing_token if token is None else token,
             notice,
-            [TaskStatus(*t) for t in tasks],
+            [TaskStatus(*task) for task in tasks],
         )
         reported_machine = self.owner.on_heartbeat(heartbeat, self.now, self.now)
         if reported_machine is None:
@@ -205,12 +221,12 @@
         self.owner.on_heartbeat_answered(reported_machine, self.now)
         return commands
 
-    def machine(self, name: str, mtype: str = "small", zone: str = "a") -> None:
+    def add_machine(self, name: str, machine_type: str = "small", zone: str = "a") -> None:
         """Add a machine that is up and recorded and has the owner's token."""
-        self.report(name, mtype=mtype, zone=zone)
+        self.report(name, machine_type=machine_type, zone=zone)
         self.commit()
 
-    def step(self) -> ShardActions:
+    def run_pass(self) -> ShardActions:
         """Run a pass of the owner."""
         return self.owner.run_pass(self.now, self.now)
 
@@ -218,7 +234,7 @@
         """Commit all pending writes; return the actions that the commits permit."""
         actions = ShardActions()
         while batch := self.owner.gather_commit(self.now, self.now):
-            values = {k: v for k, (v, _) in batch.puts.items()}
+            values = {key: value for key, (value, _) in batch.puts.items()}
             outcome = self.ledger.txn(batch.preconditions, values, batch.deletes)
             if isinstance(outcome, int):
                 self.owner.on_committed(batch, outcome, actions)
@@ -228,24 +244,24 @@
                 self.owner.on_rejected(batch, self.now, self.now, unchanged=False)
         return actions
 
-    def run(self) -> ShardActions:
+    def run_and_commit(self) -> ShardActions:
         """Run a pass of the owner, then commit; return the actions of the commits."""
-        self.step()
+        self.run_pass()
         return self.commit()
 
-    def later(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         """Advance the clock."""
         self.now += int(seconds * SECOND_US)
 
     def place_one(self) -> tuple[str, str, int]:
         """Place one task on the only machine; return the machine, task and attempt of its start."""
-        self.machine("m0")
+        self.add_machine("m0")
         self.submit(spec(tasks=1))
-        (start,) = self.starts(self.run())
+        (start,) = self.starts(self.run_and_commit())
         return start
 
     def starts(self, actions: ShardActions) -> set[tuple[str, str, int]]:
-        """Return the machine, task and attempt of each direct start."""
+        """Return the machine, task and attempt of each start command."""
         return {
             (machine, command.task, command.attempt)
             for machine, commands in actions.commands.items()
@@ -254,6 +270,6 @@
         }
 
 
-def machine_rec(mtype: str = "small", zone: str = "a", spot: bool = False) -> MachineRecord:
+def machine_record(machine_type: str = "small", zone: str = "a", spot: bool = False) -> MachineRecord:
     """Return the record of a machine."""
-    return MachineRecord(mtype, zone, spot, "127.0.0.1:1")
+    return MachineRecord(machine_type, zone, spot, "127.0.0.1:1")
