--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -76,7 +76,7 @@
         parts = file.relative_to(ROOT / "pearstep").parts
         if len(parts) < 2:
             continue
-        assert parts[0] in LAYERS, f"{parts[0]} has no layer"
+        assert parts[0] in LAYERS, f"{parts[0]} has no place in the order"
         for target in imported_packages(file):
             if target in LAYERS and LAYERS.index(target) > LAYERS.index(parts[0]):
                 violations.append(f"{'/'.join(parts)}: {target}")
