--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -14,7 +14,7 @@
 from pearstep.state.records import LeaseHolderRecord, RouteRecord
 from pearstep.state.replica import Replica
 from pearstep.transport.kv_client import CommitOutcome, CommitResult
-from tests.world import Ledger
+from tests.world import FakeKeyValueStore
 
 
 class FakeStateService:
@@ -25,9 +25,9 @@
     """
 
     def __init__(self):
-        self.ledger, self.replica = Ledger(), Replica()
+        self.ledger, self.replica = FakeKeyValueStore(), Replica()
         self.ledger.txn({}, {"leader": LeaseHolderRecord("n0")})
-        self.ledger.feed(self.replica)
+        self.ledger.update_replica(self.replica)
         self.outcomes, self.pending, self.commit_count = [], [], 0
 
     async def commit(self, conditions, puts, deletes=None, urgency=0):
@@ -49,7 +49,7 @@
         )
 
     async def read_barrier(self):
-        self.ledger.feed(self.replica)
+        self.ledger.update_replica(self.replica)
         return True
 
     def apply_own_commit(self, key, version, value):
--- a/tests/test_later_meetings.py
+++ b/tests/test_later_meetings.py
@@ -32,7 +32,7 @@
     run_without_broken_rules,
 )
 from tests.test_meetings import make_setup as make_fault_setup
-from tests.world import World, spec
+from tests.world import ShardHarness, spec
 
 make_setup = partial(make_fault_setup, settle_s=45.0)
 
@@ -208,13 +208,13 @@
 
 def test_nothing_is_placed_on_a_machine_before_its_record_is_committed():
     def first_written_kinds(*patches):
-        world = World()
+        world = ShardHarness()
         world.report("m0")
         world.submit(spec(tasks=1))
         with ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
-            world.step()
+            world.run_pass()
         return {key[0] for key in world.owner.gather_commit(world.now, world.now).puts}
 
     assert first_written_kinds() == {"m"}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -183,8 +183,8 @@
     bounds = SimpleNamespace(cross_zone_takeover_us=3_000_000)
     claimer._settings = SimpleNamespace(shard_zones=ZONES, nodes=nodes, home_shard=0, timeouts=bounds)
     replica.put("part/1", 1, msgspec.json.encode(LeaseHolderRecord("n1", NODE_VERSION)), 0)
-    assert claimer._cross_zone_patience_us(3) == 3_000_000 and claimer._cross_zone_patience_us(2) == 0
+    assert claimer._cross_zone_delay_us(3) == 3_000_000 and claimer._cross_zone_delay_us(2) == 0
     replica.put("part/1", 2, msgspec.json.encode(LeaseHolderRecord("n4", NODE_VERSION)), 0)
-    assert claimer._cross_zone_patience_us(3) == 0  # no node of the zone south is left
+    assert claimer._cross_zone_delay_us(3) == 0  # no node of the zone south is left
     claimer._settings.shard_zones = []
-    assert claimer._cross_zone_patience_us(3) == 0
+    assert claimer._cross_zone_delay_us(3) == 0
--- a/tests/test_offload_transactions.py
+++ b/tests/test_offload_transactions.py
@@ -37,7 +37,7 @@
 from pearstep.state.job import Job
 from pearstep.state.records import JobRecord, Placement, PlacementRecord, RouteRecord
 from pearstep.state.replica import Replica
-from tests.world import TYPES, Ledger, spec
+from tests.world import TYPES, FakeKeyValueStore, spec
 
 S = 1_000_000
 NEED = ResourceAmounts(1.0, 0.0, 1.0)
@@ -47,7 +47,7 @@
     """The stored records of a cluster, with a replica and a ledger that follow them."""
 
     def __init__(self):
-        self.store = Ledger()
+        self.store = FakeKeyValueStore()
         self.replica = Replica()
         self.changed = []
         self.records = OffloadRecords(self.replica, self.changed.append)
