--- a/pearstep/federation/settings.py
+++ b/pearstep/federation/settings.py
@@ -16,8 +16,8 @@
     """A setting is missing or wrong; the text is one line for the operator."""
 
 
-class Patience(msgspec.Struct, forbid_unknown_fields=True):
-    """The silence after which a peer is suspect, cut and gone, and the first backoff once it is back."""
+class PeerHealthSettings(msgspec.Struct, forbid_unknown_fields=True):
+    """Silence after which a peer is suspect, unreachable and gone, and the first backoff once it answers."""
 
     suspect_s: Positive = 3.0
     cut_s: Positive = 15.0
@@ -25,7 +25,7 @@
     rest_s: NotNegative = 5.0
 
 
-class Leaving(msgspec.Struct, forbid_unknown_fields=True):
+class OffloadSettings(msgspec.Struct, forbid_unknown_fields=True):
     """Which jobs may be offloaded.
 
     A job may be if it has waited ``wait_s`` and would start here later than its service-level objective, or
@@ -41,13 +41,13 @@
     gain: NotNegative = 0.25
     least_gain_s: NotNegative = 5.0
     most_price: Positive = 2.0
-    # Classes whose work may run twice: after so much silence it is taken back.
+    # Classes whose tasks may run twice, with the silence after which they are taken back.
     terms_s: dict[str, Positive] = {}
     most_under_way: PositiveInt = 32
     most_returns: PositiveInt = 3
 
     def policy(self) -> Policy:
-        """Return the settings as the decisions take them."""
+        """Return the policy for the selection of offloads."""
         return Policy(
             frozenset(self.classes),
             frozenset(self.keep_classes),
@@ -81,8 +81,8 @@
     keys: str
     binds: dict[str, Address]
     archives: list[Address] = []
-    patience: Patience = msgspec.field(default_factory=Patience)
-    leaving: Leaving = msgspec.field(default_factory=Leaving)
+    patience: PeerHealthSettings = msgspec.field(default_factory=PeerHealthSettings)
+    leaving: OffloadSettings = msgspec.field(default_factory=OffloadSettings)
     reserve_s: Positive = 30.0
     offer_s: Positive = 10.0
     yield_s: Positive = 2.0
--- a/tests/test_golden_federation.py
+++ b/tests/test_golden_federation.py
@@ -8,15 +8,15 @@
 from prometheus_client import generate_latest
 
 from pearstep.domain.job_spec import JobSpec
-from pearstep.federation import carrying, handoff, keys, link, operator_api, writes
-from pearstep.federation.carrying import Carrying
-from pearstep.federation.desk import Desk
+from pearstep.federation import handoff, keys, link, offload_transactions, operator_api, transfers
+from pearstep.federation.coordinator import Coordinator
 from pearstep.federation.keys import SiteKeyError
 from pearstep.federation.ledger import RemoteRecord, ResourceAmounts
 from pearstep.federation.link import Envelope, Link, NotCoordinatorError, Offer
 from pearstep.federation.offload_records import OffloadRecords
 from pearstep.federation.operator_api import FederationMetrics
 from pearstep.federation.peer_health import HealthTimeouts
+from pearstep.federation.transfers import Transfers
 from pearstep.state.replica import Replica
 from tests.golden import files
 from tests.test_golden_state import SPEC
@@ -84,16 +84,16 @@
 
 def test_names_are_as_recorded():
     assert files.table("federation/names.json") == {
-        "borrowed job": writes.local_ref("south", "req-7", 4_294_967_297),
-        "team": writes.team_of("south"),
+        "borrowed job": offload_transactions.local_job_id("south", "req-7", 4_294_967_297),
+        "team": offload_transactions.team_of_peer("south"),
         "certificate": keys.server_name("south"),
-        "loans": link.LOANS,
+        "loans": link.OFFLOADS_PATH,
         "facts": operator_api.STATUS_PATH,
         "metrics": operator_api.METRICS_PATH,
-        "description": carrying.DESCRIPTION,
-        "attempts": carrying.ATTEMPTS,
-        "read": carrying.READ,
-        "file": carrying.FILE,
+        "description": transfers.DESCRIPTION_PATH,
+        "attempts": transfers.ATTEMPTS_PATH,
+        "read": transfers.READ_PATH,
+        "file": transfers.FILE_PATH,
     }
 
 
@@ -101,7 +101,7 @@
     spec = JobSpec("req-7", "batch", "dev", "array", 2, 2, 10.0, 0.0, 8.0, "img", 1.0)
     offload = handoff.RemoteOffload(handoff.HOLDING, 4_294_967_297, 0b01)
     remote_record = RemoteRecord(offload, ResourceAmounts(), 0, spec)
-    record = writes.borrowed_rec(
+    record = offload_transactions.remote_job_record(
         "south", "req-7", remote_record, 1_700_000_000_000_001, 1_700_000_060_000_000
     )
     assert msgspec.json.encode(record) == files.read("state/job_of_peer.json")
@@ -126,8 +126,10 @@
     return out
 
 
-def make_desk():
-    out = Desk("here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0)
+def make_coordinator():
+    out = Coordinator(
+        "here", None, ["south", "north"], HealthTimeouts(), None, None, None, lambda: 0, lambda: 0
+    )
     out.offers["north"] = (Offer(32.0, 2.0, 128.5, 5_000_000, 1.5), 0)
     return out
 
@@ -145,14 +147,14 @@
     ref, leads = STATUS_CASES[name]
     request = SimpleNamespace(path=operator_api.STATUS_PATH, arguments={"ref": [ref.encode()]})
     status, body, _ = operator_api.answer_request(
-        request, {"site": "here"}, make_desk() if leads else None, make_records(), None
+        request, {"site": "here"}, make_coordinator() if leads else None, make_records(), None
     )
     assert (status, body) == (200, files.read(f"federation/{name}.json"))
 
 
 def test_names_of_metrics_are_as_recorded():
     metrics = FederationMetrics()
-    metrics.update(make_desk(), make_records(), 3)
+    metrics.update(make_coordinator(), make_records(), 3)
     names = sorted(
         line.split(" ")[0]
         for line in generate_latest(metrics.registry).decode().splitlines()
@@ -176,7 +178,7 @@
 
     out = Link.__new__(Link)
     out.keys, out.refused, out.peers = SimpleNamespace(peer_of=peer_of), 0, {"south": ["10.1.0.1:7101"]}
-    out._serve, out._hear = Carrying([], None, make_records(), None).serve, receive
+    out._serve, out._receive = Transfers([], None, make_records(), None).serve, receive
     return out
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,31 +20,31 @@
 )
 from pearstep.federation.link import Envelope, decode, encode
 from pearstep.federation.offload_selection import Grant, PlannedOffer
+from pearstep.federation.offload_transactions import local_job_id, remote_job_record, remote_transaction
 from pearstep.federation.terms import Term
-from pearstep.federation.writes import borrowed_rec, guest_writes, local_ref
 from pearstep.state.records import JobRecord
-from tests.test_lending import Cluster
-from tests.world import World, spec
+from tests.test_offload_transactions import Cluster
+from tests.world import ShardHarness, spec
 
 TERM_US, LEASE_US, MARGIN_US = 200 * SECOND_US, 16 * SECOND_US, 5 * SECOND_US
 TASK_AMOUNTS = ResourceAmounts(1.0, 0.0, 1.0)
 
 
 def test_owners_stop_tasks_at_their_limit_without_the_state_service():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.submit(spec(tasks=2))
     job_record = JobRecord(spec(tasks=2), world.now, run_until_us=world.now + 30 * SECOND_US)
     world.put("j/req-1", job_record)
-    starts = world.starts(world.run())
+    starts = world.starts(world.run_and_commit())
     assert len(starts) == 2
     tasks = [(name, n, "running") for _, name, n in sorted(starts)]
     world.report("m0", *tasks)
-    world.later(29)
+    world.advance_clock(29)
     assert not [o for o in world.report("m0", *tasks) if o[0] == "stop"]
-    world.later(1)
+    world.advance_clock(1)
     # No commit from here on: the state service is unavailable. The owner still answers, and orders the stop.
-    world.step()
+    world.run_pass()
     orders = world.report("m0", *tasks)
     assert sorted(o[:2] for o in orders if o[0] == "stop") == [("stop", "req-1/0"), ("stop", "req-1/1")]
     assert all(
@@ -53,17 +53,17 @@
 
 
 def test_no_task_starts_after_its_limit_and_a_renewal_extends_it():
-    world = World()
-    world.machine("m0")
+    world = ShardHarness()
+    world.add_machine("m0")
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, run_until_us=world.now))
     from pearstep.state.records import RouteRecord
 
     world.put("r/0/req-1", RouteRecord("0"))
-    assert not world.starts(world.run())
+    assert not world.starts(world.run_and_commit())
     world.put("j/req-1", JobRecord(spec(tasks=1), world.now, run_until_us=world.now + 9 * SECOND_US))
-    assert world.starts(world.run())
+    assert world.starts(world.run_and_commit())
     # A record without a limit does not change it; an earlier or later limit takes effect at once.
-    job = world.view.jobs["req-1"]
+    job = world.replica.jobs["req-1"]
     job.update(JobRecord(spec(tasks=1), world.now), job.version, world.now)
     assert job.run_until_us == world.now + 9 * SECOND_US
     job.update(JobRecord(spec(tasks=1), world.now, run_until_us=world.now), job.version, world.now)
@@ -77,20 +77,22 @@
         RemoteOffload(handoff.HOLDING, 9, 0b11, highest_number=9), TASK_AMOUNTS, 100, job_spec, TERM_US
     )
     cluster.put("g/huye/req-5", record)
-    job_record = borrowed_rec("huye", "req-5", record, 100, 500)
-    assert job_record.run_until_us == 500 and borrowed_rec("huye", "req-5", record, 500, 500) is None
+    job_record = remote_job_record("huye", "req-5", record, 100, 500)
+    assert job_record.run_until_us == 500 and remote_job_record("huye", "req-5", record, 500, 500) is None
     cluster.put("j/lent-huye-5-9", job_record)
     after = msgspec.structs.replace(record, since_us=300)
     entry = LedgerEntry("g/huye/req-5", record, after, "huye", [])
-    assert cluster.write(guest_writes(cluster.view, "huye", "req-5", entry, 301, 700))
-    job = cluster.view.jobs["lent-huye-5-9"]
+    assert cluster.write(remote_transaction(cluster.replica, "huye", "req-5", entry, 301, 700))
+    job = cluster.replica.jobs["lent-huye-5-9"]
     assert job.run_until_us == 700 and job.done_tasks == 0b1100 and not job.is_final
     # Of a stop and a concurrent renewal only one is committed.
     again = LedgerEntry("g/huye/req-5", after, msgspec.structs.replace(after, since_us=400), "huye", [])
-    late = guest_writes(cluster.view, "huye", "req-5", again, 401, 800)
+    late = remote_transaction(cluster.replica, "huye", "req-5", again, 401, 800)
     returning = msgspec.structs.replace(after, offload=handoff.begin_return(after.offload))
     stop = LedgerEntry("g/huye/req-5", after, returning, "huye", [])
-    assert cluster.write(guest_writes(cluster.view, "huye", "req-5", stop, 402)) and not cluster.write(late)
+    assert cluster.write(
+        remote_transaction(cluster.replica, "huye", "req-5", stop, 402)
+    ) and not cluster.write(late)
     assert job.is_final and job.run_until_us == 700
 
 
@@ -324,7 +326,7 @@
     record = RemoteRecord(
         RemoteOffload(handoff.HOLDING, 7, 3, highest_number=7), TASK_AMOUNTS, 0, back.items[0].spec
     )
-    assert borrowed_rec("huye", "req-1", record, 0) is None
+    assert remote_job_record("huye", "req-1", record, 0) is None
     # A message of an unknown kind changes nothing.
     ledger = OffloadLedger(1, {}, 1)
     ledger.origin_records["req-1"] = OriginRecord(
@@ -332,4 +334,4 @@
     )
     if kind == "something later":
         assert ledger.receive("kigali", back.items[0], TASK_AMOUNTS, 0) == []
-    assert local_ref("huye", "req-1", 7) == "lent-huye-1-7"
+    assert local_job_id("huye", "req-1", 7) == "lent-huye-1-7"
