--- a/pearstep/protocol/emulator_messages.py
+++ b/pearstep/protocol/emulator_messages.py
@@ -36,7 +36,7 @@
     ttl_ms: int
 
 
-class InstanceRequest(
+class InstanceRequestMessage(
     msgspec.Struct,
     rename={"name": "hire", "type": "breed", "zone": "plot", "spot": "windfall", "count": "howMany"},
 ):
@@ -57,7 +57,7 @@
 
 decode_transaction = msgspec.json.Decoder(Transaction).decode
 decode_lease_request = msgspec.json.Decoder(LeaseRequest).decode
-decode_instance_request = msgspec.json.Decoder(InstanceRequest).decode
+decode_instance_request = msgspec.json.Decoder(InstanceRequestMessage).decode
 decode_deletion_request = msgspec.json.Decoder(DeletionRequest).decode
 
 
